--- a/bench/decisions_bench.cpp
+++ b/bench/decisions_bench.cpp
@@ -21,7 +21,7 @@
 struct Due {
     Instant at;
     uint64_t order;
-    SubmitEnd end;
+    SubmitResult end;
     bool operator>(const Due& o) const { return std::tie(at, order) > std::tie(o.at, o.order); }
 };
 
@@ -29,16 +29,16 @@
   public:
     Scripted(uint32_t destinations, double refusing) : destinations_(destinations), refusing_(refusing) {
         std::vector<Product> products = {
-            {Span::seconds(1), Span::seconds(10), Effect::resendable, Span(), false, 1, 0.3, false}};
-        sender_ = makeSender(7, products, {Kind{}}, {2, ZoneIx(0u)},
+            {Span::seconds(1), Span::seconds(10), Effect::idempotent, Span(), false, 1, 0.3, false}};
+        sender_ = makeSender(7, products, {EndpointKind{}}, {2, ZoneIndex(0u)},
                              {256, 20000, 8, true, Span::millis(5), Span::seconds(2)},
-                             {0.2, Span::seconds(5), 2, Span::seconds(1)}, ListRule{}, Decay::linear,
+                             {0.2, Span::seconds(5), 2, Span::seconds(1)}, EndpointListRule{}, Decay::linear,
                              {Span::seconds(10), Span::millis(500)});
         std::vector<ListEntry> list;
         for (uint32_t d = 0; d < destinations; ++d) {
-            list.push_back({EndpointIx(d), DestinationIx(d), ZoneIx(d % 2), KindIx(0u), Listed::active, 0});
+            list.push_back({EndpointIndex(d), DestinationIndex(d), ZoneIndex(d % 2), KindIndex(0u), ListState::active, 0});
         }
-        sender_->listed(now_, ListScope::whole, list);
+        sender_->onEndpointList(now_, ListScope::complete, list);
         pull();
     }
     // Runs on for so many texts; returns the seconds spent in the module.
@@ -48,9 +48,9 @@
             Instant next = now_ + Span::micros(1000000 / kTextsASecond);
             runTo(next);
             Arrival a;
-            a.text = TextIx(nextText_++), a.destination = DestinationIx(chance_() % destinations_);
-            a.product = ProductIx(0u), a.validUntil = now_ + Span::seconds(10);
-            timed([&] { sender_->arrived(now_, a); });
+            a.text = TextIndex(nextText_++), a.destination = DestinationIndex(chance_() % destinations_);
+            a.product = ProductIndex(0u), a.validUntil = now_ + Span::seconds(10);
+            timed([&] { sender_->onArrival(now_, a); });
             pull();
         }
         return spent_ - before;
@@ -74,11 +74,11 @@
             if (at == until) return;
             if (wake_ <= at) {
                 wake_ = Instant::never();
-                timed([&] { sender_->woke(now_); });
+                timed([&] { sender_->onTimer(now_); });
             } else {
-                SubmitEnd end = dues_.top().end;
+                SubmitResult end = dues_.top().end;
                 dues_.pop();
-                timed([&] { sender_->ended(now_, end); });
+                timed([&] { sender_->onSubmitResult(now_, end); });
             }
             pull();
         }
@@ -86,11 +86,11 @@
     void pull() {
         while (true) {
             std::optional<Decision> decision;
-            timed([&] { decision = sender_->next(now_); });
+            timed([&] { decision = sender_->nextDecision(now_); });
             if (!decision) return;
             if (const auto* s = std::get_if<Submit>(&*decision)) {
                 bool full = s->endpoint.value < refusing_ * destinations_;
-                SubmitEnd end{s->text, s->endpoint, full ? End::full : End::delivered,
+                SubmitResult end{s->text, s->endpoint, full ? SubmitStatus::overloaded : SubmitStatus::delivered,
                               !full,   Span(),      std::nullopt};
                 dues_.push({now_ + Span::seconds(full ? kRefused : kDelivered), order_++, end});
             } else if (const auto* w = std::get_if<WakeAt>(&*decision)) {
@@ -150,10 +150,10 @@
 void wholeLists(benchmark::State& state) {
     auto destinations = static_cast<uint32_t>(state.range(0));
     std::vector<Product> products = {
-        {Span::seconds(1), Span::seconds(10), Effect::resendable, Span(), false, 1, 0.3, false}};
-    auto sender = makeSender(7, products, {Kind{}}, {2, ZoneIx(0u)},
+        {Span::seconds(1), Span::seconds(10), Effect::idempotent, Span(), false, 1, 0.3, false}};
+    auto sender = makeSender(7, products, {EndpointKind{}}, {2, ZoneIndex(0u)},
                              {256, 20000, 8, true, Span::millis(5), Span::seconds(2)},
-                             {0.2, Span::seconds(5), 2, Span::seconds(1)}, ListRule{}, Decay::linear,
+                             {0.2, Span::seconds(5), 2, Span::seconds(1)}, EndpointListRule{}, Decay::linear,
                              {Span::seconds(10), Span::millis(500)});
     Instant now = Instant::atMicros(1000000);
     uint32_t round = 0, nextText = 0;
@@ -162,21 +162,21 @@
         // The host's indices go round too: what is gone gives its own to what comes two lists later.
         std::vector<ListEntry> list;
         for (uint32_t d = 0; d < destinations; ++d) {
-            list.push_back({EndpointIx(d + round % 2 * destinations), DestinationIx(d), ZoneIx(0u),
-                            KindIx(0u), Listed::active, 0});
+            list.push_back({EndpointIndex(d + round % 2 * destinations), DestinationIndex(d), ZoneIndex(0u),
+                            KindIndex(0u), ListState::active, 0});
         }
         ++round;
         auto from = std::chrono::steady_clock::now();
-        sender->listed(now, ListScope::whole, list);
+        sender->onEndpointList(now, ListScope::complete, list);
         for (int i = 0; i < 100; ++i) {
             Arrival a;
-            a.text = TextIx(nextText++), a.destination = DestinationIx(nextText * 7919 % destinations);
-            a.product = ProductIx(0u), a.validUntil = now + Span::seconds(10);
-            sender->arrived(now, a);
+            a.text = TextIndex(nextText++), a.destination = DestinationIndex(nextText * 7919 % destinations);
+            a.product = ProductIndex(0u), a.validUntil = now + Span::seconds(10);
+            sender->onArrival(now, a);
         }
-        while (auto d = sender->next(now)) {
+        while (auto d = sender->nextDecision(now)) {
             if (const auto* s = std::get_if<Submit>(&*d)) {
-                sender->ended(now, {s->text, s->endpoint, End::delivered, true, Span(), std::nullopt});
+                sender->onSubmitResult(now, {s->text, s->endpoint, SubmitStatus::delivered, true, Span(), std::nullopt});
             }
         }
         double took = std::chrono::duration<double>(std::chrono::steady_clock::now() - from).count();
--- a/fleet/judge.cpp
+++ b/fleet/judge.cpp
@@ -100,10 +100,10 @@
         s.still = s.still + (now - s.stillFrom), s.stillFrom = Instant::never();
 }
 
-void Judge::told(Instant now, int sender, uint32_t endpoint, int generation, Listed state) {
+void Judge::told(Instant now, int sender, uint32_t endpoint, int generation, ListState state) {
     auto& leaving = senders_[static_cast<size_t>(sender)].leavingSince;
-    if (state == Listed::active) leaving.erase(keyOf(endpoint, generation));
-    if (state != Listed::active) leaving.try_emplace(keyOf(endpoint, generation), now);
+    if (state == ListState::active) leaving.erase(keyOf(endpoint, generation));
+    if (state != ListState::active) leaving.try_emplace(keyOf(endpoint, generation), now);
 }
 
 Judge::CallNo Judge::called(Instant firstByte, Instant now, int sender, uint32_t endpoint, int generation,
@@ -153,11 +153,11 @@
         now > t.endedAt + kAfterEnd) {
         breach(Rule::lostText, now, nameOf(r) + " was submitted after its final answer");
     }
-    if (t.mayHaveRun && p.effect == Effect::onceOnly) {
+    if (t.mayHaveRun && p.effect == Effect::nonIdempotent) {
         breach(Rule::doubleEffect, now, nameOf(r) + " was submitted again though it may have run");
     }
-    if (t.mayHaveRun && p.effect == Effect::referenced &&
-        now > t.firstMayHaveRun + p.memory + Span::millis(50)) {
+    if (t.mayHaveRun && p.effect == Effect::idempotencyKey &&
+        now > t.firstMayHaveRun + p.dedupWindow + Span::millis(50)) {
         breach(Rule::doubleEffect, now, nameOf(r) + " was submitted again when its reference was forgotten");
     }
     if (!p.inOrder || t.key == 0) return;
@@ -184,9 +184,9 @@
     for (RequestNo r : call.texts) {
         Text& t = texts_[r];
         const Product& p = scenario_.products[t.product].rules;
-        bool known = p.effect == Effect::referenced && t.effects > 0 && now <= t.firstMayHaveRun + p.memory;
+        bool known = p.effect == Effect::idempotencyKey && t.effects > 0 && now <= t.firstMayHaveRun + p.dedupWindow;
         if (!known) ++t.effects;
-        if (t.effects > 1 && p.effect != Effect::resendable) {
+        if (t.effects > 1 && p.effect != Effect::idempotent) {
             breach(Rule::doubleEffect, now,
                    nameOf(r) + " took effect " + std::to_string(t.effects) + " times");
         }
@@ -232,7 +232,7 @@
     }
     if (t.end != End::open && t.end != End::dropped) return;  // does no harm
     const Product& p = scenario_.products[t.product].rules;
-    if (nacked && t.mayHaveRun && p.effect == Effect::onceOnly) {
+    if (nacked && t.mayHaveRun && p.effect == Effect::nonIdempotent) {
         breach(Rule::doubleEffect, now, nameOf(r) + " was nacked though it may have run");
     }
     if (t.end == End::open) over(now, t, nacked ? End::nacked : End::undeliverable);
--- a/fleet/judge.hpp
+++ b/fleet/judge.hpp
@@ -42,7 +42,7 @@
     void stopped(Instant now, int sender, bool stopped);
 
     // ---- the list, as written to that sender
-    void told(Instant now, int sender, uint32_t endpoint, int generation, Listed state);
+    void told(Instant now, int sender, uint32_t endpoint, int generation, ListState state);
 
     // ---- calls, by a number of the judge's
     using CallNo = uint32_t;
--- a/fleet/model.cpp
+++ b/fleet/model.cpp
@@ -38,9 +38,9 @@
     struct Call {
         Judge::CallNo no = 0;
         std::vector<RequestNo> requests;
-        std::vector<TextIx> texts;
+        std::vector<TextIndex> texts;
         uint32_t endpoint = 0;
-        EndpointIx index;
+        EndpointIndex index;
         int sender = 0, life = 0, generation = 0;
         bool begun = false, atPeerOver = false, heard = false, fresh = false;
         Instant until;
@@ -56,19 +56,19 @@
         int submits = 0;
         bool out = false;
         std::optional<Instant> mayHaveRunSince;
-        ZoneIx ranIn;
+        ZoneIndex ranIn;
         Instant begunAt;
     };
     struct Node {
         std::unique_ptr<Sender> module;
         std::unordered_map<uint32_t, Row> rows;
-        std::unordered_map<RequestNo, TextIx> known;
+        std::unordered_map<RequestNo, TextIndex> known;
         std::map<RequestNo, Open> store;
         std::unordered_map<uint32_t, std::vector<Instant>>
             idle;                          // connections by endpoint: when each is closed
         std::vector<uint32_t> endpointOf;  // by the module's index
         std::vector<int> generationOf;
-        std::unordered_map<uint64_t, EndpointIx> indexOf;
+        std::unordered_map<uint64_t, EndpointIndex> indexOf;
         std::set<Instant> timers;
         std::deque<std::function<void()>> waiting;  // while it is stopped
         bool up = false, stopped = false, leaving = false;
@@ -87,7 +87,7 @@
     struct Entry {
         uint32_t endpoint;
         int generation;
-        Listed state;
+        ListState state;
     };
 
     void at(Instant when, std::function<void()> what) {
@@ -99,14 +99,14 @@
     void startNode(int s);
     void killNode(int s);
     void hear(int s, bool whole);
-    EndpointIx indexFor(Node& n, uint32_t endpoint, int generation);
+    EndpointIndex indexFor(Node& n, uint32_t endpoint, int generation);
     void pull(int s);
-    void dispatch(int s, std::vector<std::pair<EndpointIx, Submit>> submits);
+    void dispatch(int s, std::vector<std::pair<EndpointIndex, Submit>> submits);
     void startCall(int s, std::shared_ptr<Call> call);
     void arrive(const std::shared_ptr<Call>& call, bool reused);
     void overAtPeer(const std::shared_ptr<Call>& call, int status, bool neverRan, Span wait);
-    void endCall(const std::shared_ptr<Call>& call, End end, Span wait = Span());
-    void finalAnswer(int s, TextIx text, bool nacked, Span pause);
+    void endCall(const std::shared_ptr<Call>& call, SubmitStatus end, Span wait = Span());
+    void finalAnswer(int s, TextIndex text, bool nacked, Span pause);
 
     void handIn(size_t text);
     void again(size_t text, std::optional<Instant> when) {
@@ -148,9 +148,9 @@
     });
 }
 
-EndpointIx ModelRun::indexFor(Node& n, uint32_t endpoint, int generation) {
+EndpointIndex ModelRun::indexFor(Node& n, uint32_t endpoint, int generation) {
     uint64_t key = uint64_t{endpoint} << 32 | static_cast<uint32_t>(generation);
-    auto [found, fresh] = n.indexOf.try_emplace(key, EndpointIx(n.endpointOf.size()));
+    auto [found, fresh] = n.indexOf.try_emplace(key, EndpointIndex(n.endpointOf.size()));
     if (fresh) n.endpointOf.push_back(endpoint), n.generationOf.push_back(generation);
     return found->second;
 }
@@ -158,20 +158,20 @@
 void ModelRun::hear(int s, bool whole) {
     Node& n = nodes_[static_cast<size_t>(s)];
     std::vector<ListEntry> entries;
-    auto entry = [&](uint32_t e, int generation, Listed state) {
-        EndpointIx ix = indexFor(n, e, generation);
-        entries.push_back({ix, DestinationIx(world_.destinationOf(e)), ZoneIx(e % 2),
-                           KindIx(world_.groupIndex(e)), state, listedRate(world_.groupOf(e))});
+    auto entry = [&](uint32_t e, int generation, ListState state) {
+        EndpointIndex ix = indexFor(n, e, generation);
+        entries.push_back({ix, DestinationIndex(world_.destinationOf(e)), ZoneIndex(e % 2),
+                           KindIndex(world_.groupIndex(e)), state, listedRate(world_.groupOf(e))});
         if (n.starts > 0 && !whole) judge_.told(now_, s, e, generation, state);
     };
     if (whole) {
-        for (uint32_t e = 0; e < world_.endpoints(); ++e) entry(e, 0, Listed::active);
-        n.module->listed(now_, ListScope::old, entries);
+        for (uint32_t e = 0; e < world_.endpoints(); ++e) entry(e, 0, ListState::active);
+        n.module->onEndpointList(now_, ListScope::cached, entries);
         return;
     }
     for (; n.heard < log_.size(); ++n.heard)
         entry(log_[n.heard].endpoint, log_[n.heard].generation, log_[n.heard].state);
-    if (!entries.empty()) n.module->listed(now_, ListScope::changes, entries);
+    if (!entries.empty()) n.module->onEndpointList(now_, ListScope::changes, entries);
 }
 
 void ModelRun::startNode(int s) {
@@ -179,7 +179,7 @@
     ++n.life, ++n.starts;
     auto seed =
         static_cast<uint32_t>(seed_ * 1000 + static_cast<uint64_t>(s) * 31 + static_cast<uint64_t>(n.starts));
-    Crew crew = parts_.crew;
+    SenderGroup crew = parts_.crew;
     crew.senders = sendersTold(scenario_, s);
     n.module = makeSender(seed, parts_.products, parts_.kinds, crew, parts_.room, parts_.cold, parts_.list,
                           Decay::linear, parts_.links);
@@ -190,16 +190,16 @@
     for (auto& [request, open] : n.store) {
         if (open.out && !open.mayHaveRunSince) open.mayHaveRunSince = open.begunAt;
         open.out = false;
-        TextIx ix(n.nextText++);
+        TextIndex ix(n.nextText++);
         n.rows[ix.value] = {request, nullptr, open.submits, false, true};
         n.known[request] = ix;
         const Planned& p = programs_.text(open.text).plan;
         Arrival a;
-        a.text = ix, a.destination = DestinationIx(p.destination), a.product = ProductIx(p.product);
+        a.text = ix, a.destination = DestinationIndex(p.destination), a.product = ProductIndex(p.product);
         a.validUntil = programs_.validUntil(open.text), a.submits = open.submits;
         if (p.key > 0) a.key = p.key;
-        a.mayHaveRunSince = open.mayHaveRunSince, a.ranIn = open.ranIn;
-        n.module->arrived(now_, a);
+        a.mayHaveRunSince = open.mayHaveRunSince, a.ranInZone = open.ranIn;
+        n.module->onArrival(now_, a);
     }
     reach(now_ + scenario_.model.hop * 2, s, [this, s] {
         if (nodes_[static_cast<size_t>(s)].deaf == 0) hear(s, false);
@@ -226,7 +226,7 @@
 
 void ModelRun::pull(int s) {
     Node& n = nodes_[static_cast<size_t>(s)];
-    std::vector<std::pair<EndpointIx, Submit>> submits;
+    std::vector<std::pair<EndpointIndex, Submit>> submits;
     auto each = [&](const Decision& decision) {
         if (const auto* submit = std::get_if<Submit>(&decision)) {
             submits.emplace_back(submit->endpoint, *submit);
@@ -242,21 +242,21 @@
             reach(now_, s, [this, call] {
                 if (call->heard) return;
                 overAtPeer(call, 0, false, Span());
-                endCall(call, call->begun ? End::cancelled : End::unreachable);
+                endCall(call, call->begun ? SubmitStatus::cancelled : SubmitStatus::unreachable);
             });
         } else if (const auto* wake = std::get_if<WakeAt>(&decision)) {
             if (!n.timers.insert(wake->at).second) return;
             reach(wake->at, s, [this, s, when = wake->at] {
                 Node& of = nodes_[static_cast<size_t>(s)];
                 of.timers.erase(when);
-                of.module->woke(now_);
+                of.module->onTimer(now_);
                 pull(s);
             });
-        } else if (const auto* close = std::get_if<CloseIdle>(&decision)) {
+        } else if (const auto* close = std::get_if<CloseIdleConnections>(&decision)) {
             n.idle.erase(n.endpointOf[close->endpoint.value]);
         }
     };
-    if (!pullAll(*n.module, now_, kMostAtOneInstant, each)) {
+    if (!pullDecisions(*n.module, now_, kMaxDecisionsPerInstant, each)) {
         throw Endless(now_, "sender " + std::to_string(s) +
                                 " decides without end at one instant, nothing it holds ends");
     }
@@ -264,7 +264,7 @@
 }
 
 // Submits of one round to one endpoint travel together as far as its kind allows.
-void ModelRun::dispatch(int s, std::vector<std::pair<EndpointIx, Submit>> submits) {
+void ModelRun::dispatch(int s, std::vector<std::pair<EndpointIndex, Submit>> submits) {
     Node& n = nodes_[static_cast<size_t>(s)];
     std::vector<std::shared_ptr<Call>> calls;
     std::unordered_map<uint32_t, std::shared_ptr<Call>> filling;
@@ -307,12 +307,12 @@
             if (!never) {
                 reach(now_ + scenario_.model.handshake, s, [this, call, e] {
                     judge_.reached(now_, call->sender, e);
-                    endCall(call, End::unreachable);
+                    endCall(call, SubmitStatus::unreachable);
                 });
                 return;
             }
             reach(std::min(now_ + kConnectWithin, call->until), s,
-                  [this, call] { endCall(call, End::unreachable); });
+                  [this, call] { endCall(call, SubmitStatus::unreachable); });
             return;
         }
         takes = takes + scenario_.model.handshake;
@@ -320,7 +320,7 @@
     reach(call->until, s, [this, call] {
         if (call->heard) return;
         overAtPeer(call, 0, false, Span());
-        endCall(call, call->begun ? End::timeout : End::unreachable);
+        endCall(call, call->begun ? SubmitStatus::timeout : SubmitStatus::unreachable);
     });
     at(now_ + takes, [this, call, reused] { arrive(call, reused); });
 }
@@ -333,7 +333,7 @@
     if (world_.standing(e) != Standing::up) {
         // Written to a connection whose other side has gone: it may have run, for all the sender knows.
         if (world_.standing(e) == Standing::down) {
-            reach(now_ + scenario_.model.hop, s, [this, call] { endCall(call, End::reset); });
+            reach(now_ + scenario_.model.hop, s, [this, call] { endCall(call, SubmitStatus::reset); });
         }
         return;
     }
@@ -345,7 +345,7 @@
     if (fate.way == Fate::Way::answer && fate.status != 200) ++sec.refusedCalls;
     if (fate.way == Fate::Way::resetBefore) {
         judge_.reached(now_, s, e);
-        return reach(now_ + scenario_.model.hop, s, [this, call] { endCall(call, End::reset); });
+        return reach(now_ + scenario_.model.hop, s, [this, call] { endCall(call, SubmitStatus::reset); });
     }
     for (RequestNo r : call->requests) programs_.calledFirst(now_, textOf_[r]);
     call->no = judge_.called(now_, now_, s, e, call->generation, call->requests);
@@ -356,26 +356,26 @@
         if (world_.standing(e) == Standing::down || world_.generation(e) != epoch) return;
         if (fate.runs) judge_.ran(now_, call->no);
         if (call->atPeerOver || world_.standing(e) != Standing::up) return;
-        auto hears = [&](int status, bool neverRan, End end, Span wait) {
+        auto hears = [&](int status, bool neverRan, SubmitStatus end, Span wait) {
             overAtPeer(call, status, neverRan, wait);
             reach(now_ + scenario_.model.hop, s, [this, call, end, wait] { endCall(call, end, wait); });
         };
         switch (fate.way) {
             case Fate::Way::answer: {
                 bool never = fate.status == 429 || fate.status == 503;
-                End end = fate.status == 200 ? End::delivered : never ? End::full : End::error;
+                SubmitStatus end = fate.status == 200 ? SubmitStatus::delivered : never ? SubmitStatus::overloaded : SubmitStatus::error;
                 return hears(fate.status, never, end, fate.wait);
             }
             case Fate::Way::resetDuring:
             case Fate::Way::resetAfter:
-                return hears(0, false, End::reset, Span());
+                return hears(0, false, SubmitStatus::reset, Span());
             case Fate::Way::half:
             case Fate::Way::spoilt:
-                return hears(0, false, End::error, Span());
+                return hears(0, false, SubmitStatus::error, Span());
             case Fate::Way::drip:  // its answer has begun, which is waited for a second more
                 return reach(now_ + Span::seconds(1), s, [this, call] {
                     overAtPeer(call, 0, false, Span());
-                    endCall(call, End::error);
+                    endCall(call, SubmitStatus::error);
                 });
             default:
                 return;
@@ -396,37 +396,37 @@
     }
 }
 
-void ModelRun::endCall(const std::shared_ptr<Call>& call, End end, Span wait) {
+void ModelRun::endCall(const std::shared_ptr<Call>& call, SubmitStatus end, Span wait) {
     if (call->heard) return;
     call->heard = true, --out_;
     Node& n = nodes_[static_cast<size_t>(call->sender)];
     if (n.life != call->life) return;
-    if (end == End::delivered || end == End::full || (end == End::error && call->atPeerOver)) {
-        n.idle[call->endpoint].push_back(now_ + std::min(world_.idleFor(call->endpoint), parts_.links.idle));
+    if (end == SubmitStatus::delivered || end == SubmitStatus::overloaded || (end == SubmitStatus::error && call->atPeerOver)) {
+        n.idle[call->endpoint].push_back(now_ + std::min(world_.idleFor(call->endpoint), parts_.links.idleTimeout));
     }
-    for (TextIx ix : call->texts) {
+    for (TextIndex ix : call->texts) {
         auto found = n.rows.find(ix.value);
         if (found == n.rows.end()) continue;
         Row& row = found->second;
         row.call = nullptr;
-        bool mayRun = end == End::error || end == End::reset || end == End::timeout || end == End::cancelled;
+        bool mayRun = end == SubmitStatus::error || end == SubmitStatus::reset || end == SubmitStatus::timeout || end == SubmitStatus::cancelled;
         auto open = n.store.find(row.request);
         if (open != n.store.end()) {
             open->second.out = false;
             if (mayRun && !open->second.mayHaveRunSince) {
                 open->second.mayHaveRunSince = open->second.begunAt,
-                open->second.ranIn = ZoneIx(call->endpoint % 2);
+                open->second.ranIn = ZoneIndex(call->endpoint % 2);
             }
-            if (end == End::delivered) n.store.erase(open);
+            if (end == SubmitStatus::delivered) n.store.erase(open);
         }
-        SubmitEnd e{ix, call->index, end, end == End::delivered, wait, std::nullopt};
-        n.module->ended(now_, e);
-        if (end == End::delivered || row.over) n.known.erase(row.request), n.rows.erase(ix.value);
+        SubmitResult e{ix, call->index, end, end == SubmitStatus::delivered, wait, std::nullopt};
+        n.module->onSubmitResult(now_, e);
+        if (end == SubmitStatus::delivered || row.over) n.known.erase(row.request), n.rows.erase(ix.value);
     }
     pull(call->sender);
 }
 
-void ModelRun::finalAnswer(int s, TextIx text, bool nacked, Span pause) {
+void ModelRun::finalAnswer(int s, TextIndex text, bool nacked, Span pause) {
     Node& n = nodes_[static_cast<size_t>(s)];
     auto found = n.rows.find(text.value);
     if (found == n.rows.end()) return;
@@ -471,8 +471,8 @@
         Node& n = nodes_[static_cast<size_t>(s)];
         judge_.dropped(now_, r);
         if (auto known = n.known.find(r); n.life == life && known != n.known.end()) {
-            TextIx ix = known->second;
-            n.module->withdrawn(now_, ix);
+            TextIndex ix = known->second;
+            n.module->onWithdrawn(now_, ix);
             n.store.erase(r);
             n.rows.at(ix.value).over = true;
             if (!n.rows.at(ix.value).call) n.rows.erase(ix.value), n.known.erase(r);
@@ -486,15 +486,15 @@
         Node& n = nodes_[static_cast<size_t>(s)];
         if (*told) return;
         const Planned& plan = programs_.text(text).plan;
-        TextIx ix(n.nextText++);
+        TextIndex ix(n.nextText++);
         n.rows[ix.value] = {r, nullptr, 0, false, false};
         n.known[r] = ix;
         n.store[r].text = text;
         Arrival a;
-        a.text = ix, a.destination = DestinationIx(plan.destination), a.product = ProductIx(plan.product);
+        a.text = ix, a.destination = DestinationIndex(plan.destination), a.product = ProductIndex(plan.product);
         a.validUntil = programs_.validUntil(text);
         if (plan.key > 0) a.key = plan.key;
-        n.module->arrived(now_, a);
+        n.module->onArrival(now_, a);
         pull(s);
         // Not answered in that round: it is taken on.
         auto row = n.rows.find(ix.value);
@@ -521,7 +521,7 @@
                 log_.push_back({h->endpoint, h->generation, h->state}), listed = true;
                 break;
             case Happening::What::replaced:
-                log_.push_back({h->endpoint, h->generation, Listed::active}), listed = true;
+                log_.push_back({h->endpoint, h->generation, ListState::active}), listed = true;
                 if (h->trouble != Trouble::replace) break;
                 [[fallthrough]];
             case Happening::What::standing: {
@@ -530,7 +530,7 @@
                     overAtPeer(call, 0, false, Span());
                     if (!silent)
                         reach(now_ + scenario_.model.hop, call->sender,
-                              [this, call] { endCall(call, End::reset); });
+                              [this, call] { endCall(call, SubmitStatus::reset); });
                 }
                 for (Node& n : nodes_) n.idle.erase(h->endpoint);
                 break;
@@ -552,7 +552,7 @@
                 } else if (h->trouble == Trouble::senderKill) {
                     h->begins ? killNode(s) : startNode(s);
                 } else if (h->begins) {
-                    n.module->leaving(now_ + Span::millis(3400));
+                    n.module->onShutdown(now_ + Span::millis(3400));
                     reach(now_ + Span::millis(300), s,
                           [this, s] { nodes_[static_cast<size_t>(s)].leaving = true; });
                     at(now_ + Span::millis(3700), [this, s] { killNode(s); });
--- a/fleet/parts.cpp
+++ b/fleet/parts.cpp
@@ -13,18 +13,18 @@
     for (const Group& g : s.groups) {
         parts.kinds.push_back({g.batch, g.separateRoutes});
         // What is told of cold returns holds for all, so the most careful of them.
-        parts.cold.share = std::min(parts.cold.share, g.coldShare);
-        parts.cold.warmUp = std::max(parts.cold.warmUp, g.warmUp);
+        parts.cold.initialShare = std::min(parts.cold.initialShare, g.coldShare);
+        parts.cold.warmUpTime = std::max(parts.cold.warmUpTime, g.warmUp);
         if (g.tipMultiple > 0) {
-            parts.cold.multiple =
-                parts.cold.multiple > 0 ? std::min(parts.cold.multiple, g.tipMultiple) : g.tipMultiple;
-            parts.cold.window = std::max(parts.cold.window, g.tipWindow);
+            parts.cold.overloadFactor =
+                parts.cold.overloadFactor > 0 ? std::min(parts.cold.overloadFactor, g.tipMultiple) : g.tipMultiple;
+            parts.cold.overloadWindow = std::max(parts.cold.overloadWindow, g.tipWindow);
         }
-        parts.links.idle = std::min(parts.links.idle, g.idle);
-        parts.list.ratesListed = parts.list.ratesListed || g.rateListed;
+        parts.links.idleTimeout = std::min(parts.links.idleTimeout, g.idle);
+        parts.list.includesRates = parts.list.includesRates || g.rateListed;
     }
-    if (parts.cold.multiple <= 0) parts.cold.multiple = 2;
-    parts.crew = {s.senders, ZoneIx(0u)};
+    if (parts.cold.overloadFactor <= 0) parts.cold.overloadFactor = 2;
+    parts.crew = {s.senders, ZoneIndex(0u)};
     parts.room = {s.callsOut, s.held, s.submits, s.cancel, s.tick, s.longestPause};
     return parts;
 }
--- a/fleet/parts.hpp
+++ b/fleet/parts.hpp
@@ -8,12 +8,12 @@
 
 struct SenderParts {
     std::vector<Product> products;
-    std::vector<Kind> kinds;  // one for each group
-    Crew crew;
-    Room room;
-    ColdRule cold;
-    ListRule list;
-    Links links;
+    std::vector<EndpointKind> kinds;  // one for each group
+    SenderGroup crew;
+    SenderLimits room;
+    ColdStartRule cold;
+    EndpointListRule list;
+    ConnectionRule links;
 };
 SenderParts partsOf(const Scenario& scenario);
 // How many senders that one was told there are.
--- a/fleet/process.cpp
+++ b/fleet/process.cpp
@@ -34,10 +34,10 @@
                          {"aim", micros(p.rules.sla)},
                          {"deadline", micros(p.rules.validity)},
                          {"effect", effects[static_cast<int>(p.rules.effect)]},
-                         {"window", micros(p.rules.memory)},
+                         {"window", micros(p.rules.dedupWindow)},
                          {"group", "all"},
                          {"worth", p.rules.revenue},
-                         {"lateWorth", p.rules.lateShare},
+                         {"lateWorth", p.rules.lateRevenueShare},
                          {"fifoByKey", p.rules.inOrder}});
     }
     for (const Group& g : s.groups) {
@@ -55,7 +55,7 @@
             {"lanes", lanes},
             {"limits",
              {{"cancel", s.cancel},
-              {"connIdle", micros(parts.links.idle)},
+              {"connIdle", micros(parts.links.idleTimeout)},
               {"connectTimeout", 1500000},
               {"maxAttempts", s.submits},
               {"maxRetryAfter", micros(s.longestPause)},
@@ -63,12 +63,12 @@
               {"retryAfter", s.longestPause > Span()}}},
             {"resolution", micros(s.tick)},
             {"contract",
-             {{"cold", micros(parts.cold.warmUp)},
-              {"coldFrom", parts.cold.share},
-              {"fall", micros(parts.cold.window)},
-              {"tipMultiple", parts.cold.multiple},
-              {"orderSettle", micros(parts.links.orderRest)}}},
-            {"weights", parts.list.ratesListed ? "nominal" : "none"},
+             {{"cold", micros(parts.cold.warmUpTime)},
+              {"coldFrom", parts.cold.initialShare},
+              {"fall", micros(parts.cold.overloadWindow)},
+              {"tipMultiple", parts.cold.overloadFactor},
+              {"orderSettle", micros(parts.links.keyHoldTime)}}},
+            {"weights", parts.list.includesRates ? "nominal" : "none"},
             {"zone", "a"}};
 }
 
--- a/fleet/scenario.cpp
+++ b/fleet/scenario.cpp
@@ -207,12 +207,12 @@
     }
     static const std::vector<std::string> effects = {"resendable", "referenced", "once-only"};
     p.effect = static_cast<Effect>(part.word("effect", effects, 2, true));
-    p.memory = part.millis("memory_ms", Span());
-    if (p.effect == Effect::referenced && p.memory <= Span()) {
+    p.dedupWindow = part.millis("memory_ms", Span());
+    if (p.effect == Effect::idempotencyKey && p.dedupWindow <= Span()) {
         part.wrong(nullptr, "memory_ms", "must be above 0 for a referenced product");
     }
     p.revenue = part.number("revenue", 1, 0, 1e6);
-    p.lateShare = part.number("late_share", 0.3, 0, 1);
+    p.lateRevenueShare = part.number("late_share", 0.3, 0, 1);
     p.inOrder = part.flag("in_order", false);
     part.done();
     return plan;
--- a/fleet/stage.cpp
+++ b/fleet/stage.cpp
@@ -144,7 +144,7 @@
             scenario_, s, options_.folder + "/sender-" + std::to_string(s), options_.sender);
         std::string members;
         for (uint32_t e = 0; e < world_.endpoints(); ++e) {
-            members += (e == 0 ? "" : ",") + memberOf(s, {1, e, 0, Listed::active});
+            members += (e == 0 ? "" : ",") + memberOf(s, {1, e, 0, ListState::active});
         }
         if (crew_) sender.process->joinCrew(crew_->configOf(s), crew_->ops(s));
         sender.process->configure(sender.listen, sender.directory.address, "[" + members + "]", 1);
--- a/fleet/stage_directory.cpp
+++ b/fleet/stage_directory.cpp
@@ -13,8 +13,8 @@
     const Group& g = world_.groupOf(entry.endpoint);
     const Sender& sender = senders_[static_cast<size_t>(s)];
     int port = ownListeners_ ? sender.listeners[entry.endpoint].port : sender.shared.port;
-    const char* phase = entry.state == Listed::active    ? "ready"
-                        : entry.state == Listed::leaving ? "draining"
+    const char* phase = entry.state == ListState::active    ? "ready"
+                        : entry.state == ListState::draining ? "draining"
                                                          : "gone";
     std::string id = "e" + std::to_string(entry.endpoint);
     if (entry.generation > 0) id += "-" + std::to_string(entry.generation);
@@ -102,7 +102,7 @@
         if (!whole) return answerWatch(s, conn.get(), 1);
         std::string members;
         for (uint32_t e = 0; e < world_.endpoints(); ++e) {
-            if (world_.listed(e) == Listed::gone) continue;
+            if (world_.listed(e) == ListState::removed) continue;
             members +=
                 (members.empty() ? "" : ",") + memberOf(s, {0, e, world_.generation(e), world_.listed(e)});
             judge_.told(loop_.now(), s, e, world_.generation(e), world_.listed(e));
--- a/fleet/stage_inside.hpp
+++ b/fleet/stage_inside.hpp
@@ -74,7 +74,7 @@
         int64_t revision = 0;
         uint32_t endpoint = 0;
         int generation = 0;
-        Listed state = Listed::active;
+        ListState state = ListState::active;
     };
     struct Asked {  // a program's request under way
         size_t text = 0;
--- a/fleet/stage_partners.cpp
+++ b/fleet/stage_partners.cpp
@@ -275,7 +275,7 @@
                         lineClosed(line);
                     }
                 }
-                log_.push_back({++revision_, h->endpoint, h->generation, Listed::active});
+                log_.push_back({++revision_, h->endpoint, h->generation, ListState::active});
                 listed = true;
                 break;
             }
--- a/fleet/stage_programs.cpp
+++ b/fleet/stage_programs.cpp
@@ -69,7 +69,7 @@
     std::string fields = "Request-Id: " + idFor(asked->request) +
                          "\r\nRequest-Timeout-Ms: " + std::to_string(left) +
                          "\r\nEnvelope: dest=" + std::to_string(p.destination) + "\r\n";
-    if (scenario_.products[p.product].rules.effect == Effect::referenced) {
+    if (scenario_.products[p.product].rules.effect == Effect::idempotencyKey) {
         fields += "Idempotency-Key: m" + std::to_string(text) + "\r\n";
     }
     if (programs_.text(text).tries > 1) fields += "Client-Retry: 1\r\n";
--- a/fleet/traffic.cpp
+++ b/fleet/traffic.cpp
@@ -115,7 +115,7 @@
     if (after <= p.sla) return p.revenue;
     if (after >= p.validity) return 0;
     double part = (after - p.sla).inSeconds() / std::max((p.validity - p.sla).inSeconds(), 1e-9);
-    return p.revenue * (1 - (1 - p.lateShare) * part);
+    return p.revenue * (1 - (1 - p.lateRevenueShare) * part);
 }
 
 Programs::Programs(const Scenario& scenario, std::vector<Planned> plan) : scenario_(scenario) {
--- a/fleet/world.cpp
+++ b/fleet/world.cpp
@@ -100,7 +100,7 @@
     if (!begins) std::erase(e.faults, fault);
     Happening h;
     h.endpoint = ix, h.trouble = f.what, h.begins = begins;
-    auto list = [&](Listed state) {
+    auto list = [&](ListState state) {
         h.what = Happening::What::listed, h.state = e.listed = state, h.generation = e.generation;
         happenings_.push_back(h);
     };
@@ -120,18 +120,18 @@
             return stand(begins ? Standing::vanished : Standing::up);
         case Trouble::drain:  // told first, then nothing new is taken; comes back as it ends
             e.shut = begins;
-            return list(begins ? Listed::leaving : Listed::active);
+            return list(begins ? ListState::draining : ListState::active);
         case Trouble::go:  // told, and its process goes with it; a new one comes under a new id
         case Trouble::replace:
             if (begins) {
-                list(Listed::gone);
+                list(ListState::removed);
                 if (f.what == Trouble::go) return stand(Standing::down);
             }
             if (!begins && f.what == Trouble::replace) return;
             ++e.generation;
             if (!begins) stand(Standing::up);
             h.what = Happening::What::replaced, h.generation = e.generation,
-            h.state = e.listed = Listed::active;
+            h.state = e.listed = ListState::active;
             happenings_.push_back(h);
             return;
         default:
--- a/fleet/world.hpp
+++ b/fleet/world.hpp
@@ -44,7 +44,7 @@
         sender
     } what = What::listed;
     uint32_t endpoint = 0;
-    Listed state = Listed::active;
+    ListState state = ListState::active;
     Standing standing = Standing::up;
     int generation = 0, sender = 0;
     Trouble trouble = Trouble::hang;
@@ -74,7 +74,7 @@
     uint32_t firstOf(uint32_t destination) const { return places_[destination].first; }
     Standing standing(uint32_t endpoint) const { return endpoints_[endpoint].standing; }
     int generation(uint32_t endpoint) const { return endpoints_[endpoint].generation; }
-    Listed listed(uint32_t endpoint) const { return endpoints_[endpoint].listed; }
+    ListState listed(uint32_t endpoint) const { return endpoints_[endpoint].listed; }
     std::string idOf(uint32_t endpoint) const;
     std::string zoneOf(uint32_t endpoint) const { return endpoint % 2 == 0 ? "a" : "b"; }
     size_t endpoints() const { return endpoints_.size(); }
@@ -91,7 +91,7 @@
         uint32_t group = 0, destination = 0;
         std::vector<size_t> faults;  // those in force
         Standing standing = Standing::up;
-        Listed listed = Listed::active;
+        ListState listed = ListState::active;
         int generation = 0;
         std::priority_queue<Instant, std::vector<Instant>, std::greater<>> busy;  // when each worker is free
         std::deque<Instant> starts;  // of calls that wait for a worker
--- a/include/petrelpond/ids.hpp
+++ b/include/petrelpond/ids.hpp
@@ -17,24 +17,24 @@
     uint32_t value = kNone;
     constexpr Index() = default;
     constexpr explicit Index(size_t v) : value(static_cast<uint32_t>(v)) {}
-    constexpr bool known() const { return value != kNone; }
+    constexpr bool isKnown() const { return value != kNone; }
     constexpr auto operator<=>(const Index&) const = default;
 };
 
-using TextIx = Index<struct TextTag>;
-using EndpointIx = Index<struct EndpointTag>;
-using DestinationIx = Index<struct DestinationTag>;
-using ProductIx = Index<struct ProductTag>;
-using ZoneIx = Index<struct ZoneTag>;
-using KindIx = Index<struct KindTag>;
+using TextIndex = Index<struct TextTag>;
+using EndpointIndex = Index<struct EndpointTag>;
+using DestinationIndex = Index<struct DestinationTag>;
+using ProductIndex = Index<struct ProductTag>;
+using ZoneIndex = Index<struct ZoneTag>;
+using KindIndex = Index<struct KindTag>;
 
 // Small indices for one sender's names, in the order in which it met them. Of a name it keeps the string and
 // its places in a table of indices, no more: there may be tens of thousands.
 template <class Ix>
-class Door {
+class NameTable {
   public:
-    Ix admit(std::string_view name) {
-        if (Ix known = find(name); known.known()) return known;
+    Ix intern(std::string_view name) {
+        if (Ix known = find(name); known.isKnown()) return known;
         if (2 * (used_ + 1) > table_.size()) rebuild();
         Ix ix = free_.empty() ? Ix(names_.size()) : free_.back();
         if (free_.empty()) names_.emplace_back();
--- a/include/petrelpond/pull.hpp
+++ b/include/petrelpond/pull.hpp
@@ -10,9 +10,9 @@
 
 // False where `most` were pulled and there may be more: the clock must go on before the rest are.
 template <class Each>
-[[nodiscard]] bool pullAll(Sender& sender, Instant now, size_t most, Each each) {
+[[nodiscard]] bool pullDecisions(Sender& sender, Instant now, size_t most, Each each) {
     for (size_t n = 0; n < most; ++n) {
-        auto decision = sender.next(now);
+        auto decision = sender.nextDecision(now);
         if (!decision) return true;
         each(*decision);
     }
@@ -20,6 +20,6 @@
 }
 
 // At an instant of a simulated clock, which does not go on by itself: that many come from no sender that is well.
-constexpr size_t kMostAtOneInstant = 1'000'000;
+constexpr size_t kMaxDecisionsPerInstant = 1'000'000;
 
 }  // namespace petrelpond
--- a/simhost/host.cpp
+++ b/simhost/host.cpp
@@ -20,8 +20,8 @@
         row.model = line.has("model") ? line.text("model") : "";
         row.dest = line.text("dest");
         row.state =
-            named<Listed>(line.text("condition"),
-                          {{"active", Listed::active}, {"leaving", Listed::leaving}, {"left", Listed::gone}});
+            named<ListState>(line.text("condition"),
+                          {{"active", ListState::active}, {"leaving", ListState::draining}, {"left", ListState::removed}});
         row.rate = line.numberOr("weight", 0);
         sheets_[sheetOpen_].push_back(std::move(row));
         --sheetRows_;
@@ -70,12 +70,12 @@
         } else if (line.tag() == "FLEET") {
             fleet(in, line);
         } else if (line.tag() == "WAKE") {
-            in.sender->woke(now_);
+            in.sender->onTimer(now_);
         } else if (line.tag() == "CANCELLED_BY_CLIENT") {
             auto text = in.texts.find(std::string(line.text("rid")));
             if (text == in.texts.end()) return;
-            TextIx index = text->second;
-            in.sender->withdrawn(now_, index);
+            TextIndex index = text->second;
+            in.sender->onWithdrawn(now_, index);
             in.rows[index.value].over = true;
             forgetIfDone(in, index);
         } else if (line.tag() == "ACK_FIRST" || line.tag() == "HEALTH" || line.tag() == "DATAGRAM") {
@@ -103,67 +103,67 @@
 
 void Host::arrival(Instance& in, const wire::Line& line) {
     std::string id(line.text("rid"));
-    auto [at, fresh] = in.texts.try_emplace(id, TextIx(in.nextText));
+    auto [at, fresh] = in.texts.try_emplace(id, TextIndex(in.nextText));
     if (!fresh) return complain("text " + id + " came twice");
     Arrival a;
     a.text = at->second;
     in.rows[in.nextText++].id = id;
-    a.destination = in.names.destinations.admit(line.text("destNo"));
+    a.destination = in.names.destinations.intern(line.text("destNo"));
     a.product = in.names.products.find(line.text("priority"));
-    if (!a.product.known()) complain("text " + id + " is of an unknown product");
+    if (!a.product.isKnown()) complain("text " + id + " is of an unknown product");
     a.validUntil = Instant::atMicros(line.integer("deadline"));
     if (line.has("entity")) a.key = line.unsignedInteger("entity");
-    in.sender->arrived(now_, a);
+    in.sender->onArrival(now_, a);
 }
 
 void Host::outcome(Instance& in, const wire::Line& line) {
-    SubmitEnd e;
-    e.end = named<End>(line.text("code"), {{"OK", End::delivered},
-                                           {"INTERNAL", End::error},
-                                           {"RESOURCE_EXHAUSTED", End::full},
-                                           {"DEADLINE_EXCEEDED", End::timeout},
-                                           {"UNAVAILABLE", End::unreachable},
-                                           {"ABORTED", End::reset},
-                                           {"CANCELLED", End::cancelled},
-                                           {"TOO_LATE", End::notSent}});
-    e.over = line.integerOr("closed", 0) != 0;
+    SubmitResult e;
+    e.status = named<SubmitStatus>(line.text("code"), {{"OK", SubmitStatus::delivered},
+                                           {"INTERNAL", SubmitStatus::error},
+                                           {"RESOURCE_EXHAUSTED", SubmitStatus::overloaded},
+                                           {"DEADLINE_EXCEEDED", SubmitStatus::timeout},
+                                           {"UNAVAILABLE", SubmitStatus::unreachable},
+                                           {"ABORTED", SubmitStatus::reset},
+                                           {"CANCELLED", SubmitStatus::cancelled},
+                                           {"TOO_LATE", SubmitStatus::notSent}});
+    e.isFinal = line.integerOr("closed", 0) != 0;
     for (const char* unused : {"trial", "waitTime"}) line.integerOr(unused, 0);  // malformed ones are told
-    if (e.end == End::full) e.wait = Span::millis(line.integerOr("waitMs", 0));
+    if (e.status == SubmitStatus::overloaded) e.retryAfter = Span::millis(line.integerOr("waitMs", 0));
     if (line.has("telemetry")) {
         auto row = splitList(line.text("telemetry"));
         auto field = [&](int i) -> std::optional<double> {
             if (i < 0 || static_cast<size_t>(i) >= row.size() || row[i].empty()) return std::nullopt;
             return toNumber("telemetry", row[i]);
         };
-        e.reportedLimit = field(in.reports.limit), e.reportedLeft = field(in.reports.left);
+        e.reportedLimit = field(in.reports.limit), e.reportedRemaining = field(in.reports.left);
     }
     e.endpoint = in.names.endpoints.find(line.text("endpoint"));
-    if (!e.endpoint.known()) complain("outcome at an unknown endpoint");
+    if (!e.endpoint.isKnown()) complain("outcome at an unknown endpoint");
     auto text = in.texts.find(std::string(line.text("rid")));
     if (text == in.texts.end()) return complain("outcome of an unknown text");
     e.text = text->second;
     TextRow& row = in.rows[e.text.value];
     row.open -= row.open > 0;
-    row.over = row.over || e.over;
-    in.sender->ended(now_, e);
+    row.over = row.over || e.isFinal;
+    in.sender->onSubmitResult(now_, e);
     forgetIfDone(in, e.text);
 }
 
 void Host::fleet(Instance& in, const wire::Line& line) {
     std::string_view scope = line.text("scope");
-    if (scope == "Error") return in.sender->listFailed(now_);
+    if (scope == "Error") return in.sender->onEndpointListFailed(now_);
     ListScope how = named<ListScope>(
         scope,
-        {{"Partial", ListScope::changes}, {"Complete", ListScope::whole}, {"Persisted", ListScope::old}});
+        {{"Partial", ListScope::changes}, {"Complete", ListScope::complete}, {"Persisted", ListScope::cached}});
     int64_t sheet = line.integer("rosterId");
     if (sheet < 0 || sheet > 15) throw Malformed("rosterId lies outside 0 to 15");
     std::vector<ListEntry> entries;
     for (const SheetRow& row : sheets_[sheet]) {
-        entries.push_back({in.names.endpoints.admit(row.endpoint), in.names.destinations.admit(row.dest),
-                           in.names.zones.admit(row.site), in.names.kinds.admit(row.model), row.state,
+        entries.push_back({in.names.endpoints.intern(row.endpoint), in.names.destinations.intern(row.dest),
+                           in.names.zones.intern(row.site), in.names.kinds.intern(row.model), row.state,
                            row.rate});
     }
-    in.sender->listed(now_, how, entries);
+    in.sender->onEndpointList(now_, how, entries);
 }
 
 void Host::reply() {
@@ -173,7 +173,7 @@
         try {
             if (broken_.count(who) == 0) {
                 auto each = [&](const Decision& decision) { write(who, found->second, decision); };
-                if (!pullAll(*found->second.sender, now_, kMostAtOneInstant, each))
+                if (!pullDecisions(*found->second.sender, now_, kMaxDecisionsPerInstant, each))
                     throw std::runtime_error("decisions without end at one instant");
             }
         } catch (const std::exception& failure) {
@@ -187,7 +187,7 @@
 }
 
 void Host::write(int64_t who, Instance& in, const Decision& decision) {
-    auto rid = [&](TextIx text) -> TextRow& { return in.rows.at(text.value); };
+    auto rid = [&](TextIndex text) -> TextRow& { return in.rows.at(text.value); };
     if (const auto* submit = std::get_if<Submit>(&decision)) {
         TextRow& row = rid(submit->text);
         ++row.submits;
@@ -208,18 +208,18 @@
         out_ << "ABORT_ATTEMPT who=" << who << " rid=" << rid(cancel->text).id << " trial=" << cancel->submit;
     } else if (const auto* wake = std::get_if<WakeAt>(&decision)) {
         out_ << "NOTIFY_ME who=" << who << " time=" << wake->at.inMicros() << " name=0";
-    } else if (std::holds_alternative<WatchList>(decision)) {
+    } else if (std::holds_alternative<SubscribeToList>(decision)) {
         out_ << "KEEP_INFORMED who=" << who << " enable=1";
-    } else if (const auto* close = std::get_if<CloseIdle>(&decision)) {
+    } else if (const auto* close = std::get_if<CloseIdleConnections>(&decision)) {
         out_ << "CLOSE_IDLE who=" << who << " endpoint=" << in.names.endpoints.name(close->endpoint);
     } else {
-        out_ << "NOTE_DOWN who=" << who << " what=" << std::get<Note>(decision).words;
+        out_ << "NOTE_DOWN who=" << who << " what=" << std::get<LogMessage>(decision).message;
     }
     out_ << '\n';
 }
 
 // A text is kept known until its last submit has ended, because outcomes name it until then.
-void Host::forgetIfDone(Instance& in, TextIx text) {
+void Host::forgetIfDone(Instance& in, TextIndex text) {
     auto row = in.rows.find(text.value);
     if (row == in.rows.end() || !row->second.over || row->second.open > 0) return;
     in.texts.erase(row->second.id);
--- a/simhost/host.hpp
+++ b/simhost/host.hpp
@@ -36,14 +36,14 @@
     struct Instance {
         std::unique_ptr<Sender> sender;
         Names names;
-        std::unordered_map<std::string, TextIx> texts;
+        std::unordered_map<std::string, TextIndex> texts;
         std::unordered_map<uint32_t, TextRow> rows;
         uint32_t nextText = 0;
         ReportFields reports;
     };
     struct SheetRow {
         std::string endpoint, site, model, dest;
-        Listed state = Listed::active;
+        ListState state = ListState::active;
         double rate = 0;
     };
 
@@ -54,7 +54,7 @@
     void fleet(Instance& in, const wire::Line& line);
     void reply();
     void write(int64_t who, Instance& in, const Decision& decision);
-    void forgetIfDone(Instance& in, TextIx text);
+    void forgetIfDone(Instance& in, TextIndex text);
     void complain(const std::string& words);
 
     std::ostream& out_;
--- a/src/crew/members.cpp
+++ b/src/crew/members.cpp
@@ -187,9 +187,9 @@
 void Members::apply(Instant now, Record r, const std::string& from, bool table) {
     if (r.name == own_.name) return aboutUs(now, r);
     MemberIx ix = names_.find(r.name);
-    if (!ix.known()) {
+    if (!ix.isKnown()) {
         if (entries_.size() >= kMembers && order_.size() >= kMembers) return;
-        ix = names_.admit(r.name);
+        ix = names_.intern(r.name);
         if (ix.value >= entries_.size()) entries_.resize(ix.value + 1);
         Entry& e = entries_[ix.value];
         e = Entry();
@@ -314,7 +314,7 @@
     bool table = m.kind == Kind::table || m.kind == Kind::answer;
     for (const Record& r : m.records) apply(now, r, m.from, table);
     for (const Item& i : m.items) take(now, i);
-    if (MemberIx from = names_.find(m.from); from.known()) entries_[from.value].heardAt = now;
+    if (MemberIx from = names_.find(m.from); from.isKnown()) entries_[from.value].heardAt = now;
     switch (m.kind) {
         case Kind::ping:
             // Who takes no part is not there.
@@ -337,7 +337,7 @@
             return;
         case Kind::pingFor: {
             MemberIx ix = names_.find(m.target);
-            if (!ix.known() || phase_ != Phase::in) return;
+            if (!ix.isKnown() || phase_ != Phase::in) return;
             note(Counted::pingsForOthers);
             uint64_t round = ++rounds_;
             if (helped_.size() >= kHelpedMost) helped_.erase(helped_.begin());
@@ -480,7 +480,7 @@
         if (ownOwed_ > 0) --ownOwed_;
     }
     // Whom we doubt hears it from us first, so that it can answer at once.
-    if (MemberIx to = names_.find(m.target); m.kind == Kind::ping && to.known() && entries_[to.value].record.state == State::doubted) {
+    if (MemberIx to = names_.find(m.target); m.kind == Kind::ping && to.isKnown() && entries_[to.value].record.state == State::doubted) {
         m.records.push_back(entries_[to.value].record);
         room -= roomOf(m.records.back());
     }
@@ -639,7 +639,7 @@
         publish(now, item.topic, was->second.item.bytes);
         return;
     }
-    if (!names_.find(item.origin).known()) return;
+    if (!names_.find(item.origin).isKnown()) return;
     if (was != items_.end() && item.version <= was->second.item.version) return;
     if (was == items_.end()) {
         long topics = std::count_if(items_.begin(), items_.end(), [&](auto& i) { return i.first.second == item.origin; });
@@ -655,7 +655,7 @@
 
 bool Members::tell(Instant now, const std::string& name, const std::string& topic, const std::string& bytes) {
     MemberIx ix = names_.find(name);
-    if (!ix.known() || !lives(entries_[ix.value]) || phase_ != Phase::in) return false;
+    if (!ix.isKnown() || !lives(entries_[ix.value]) || phase_ != Phase::in) return false;
     if (!goodName(topic) || topic.size() > kTopic || bytes.size() > kPayload) return false;
     Message m = made(Kind::direct, name, 0);
     m.topic = topic, m.bytes = bytes;
@@ -688,7 +688,7 @@
 
 std::optional<Seen> Members::seen(Instant now, const std::string& name) const {
     MemberIx ix = names_.find(name);
-    return ix.known() ? std::optional(seenOf(now, entries_[ix.value])) : std::nullopt;
+    return ix.isKnown() ? std::optional(seenOf(now, entries_[ix.value])) : std::nullopt;
 }
 
 std::vector<Item> Members::items(Instant now, const std::string& topic) const {
--- a/src/crew/members.hpp
+++ b/src/crew/members.hpp
@@ -177,7 +177,7 @@
     uint64_t kept_;
     std::mt19937 chance_;
     Phase phase_ = Phase::seeking;
-    Door<MemberIx> names_;
+    NameTable<MemberIx> names_;
     std::vector<Entry> entries_;  // by member; not ourselves
     std::vector<MemberIx> order_;  // in which they are pinged
     size_t position_ = 0, living_ = 1;
--- a/src/index/calls_out.hpp
+++ b/src/index/calls_out.hpp
@@ -29,25 +29,25 @@
 // Texts of one key go in the order taken; after a submit that may still run the key rests.
 struct KeyOrder {
     struct Line {
-        std::deque<TextIx> texts;
+        std::deque<TextIndex> texts;
         Instant restsUntil = Instant::longAgo();
-        TextIx restsFor;
+        TextIndex restsFor;
     };
     std::map<uint64_t, Line> keys;
 
-    void taken(uint64_t key, TextIx text) { keys[key].texts.push_back(text); }
-    TextIx first(uint64_t key) const {
+    void taken(uint64_t key, TextIndex text) { keys[key].texts.push_back(text); }
+    TextIndex first(uint64_t key) const {
         auto line = keys.find(key);
-        return line == keys.end() || line->second.texts.empty() ? TextIx() : line->second.texts.front();
+        return line == keys.end() || line->second.texts.empty() ? TextIndex() : line->second.texts.front();
     }
-    bool mayGo(uint64_t key, TextIx text, Instant now) const {
+    bool mayGo(uint64_t key, TextIndex text, Instant now) const {
         const Line& line = keys.at(key);
         return line.texts.front() == text && (now >= line.restsUntil || line.restsFor == text);
     }
-    void rest(uint64_t key, TextIx text, Instant until) {
+    void rest(uint64_t key, TextIndex text, Instant until) {
         keys[key].restsUntil = until, keys[key].restsFor = text;
     }
-    void done(uint64_t key, TextIx text) { std::erase(keys[key].texts, text); }
+    void done(uint64_t key, TextIndex text) { std::erase(keys[key].texts, text); }
     void forgetIdle(Instant now) {
         std::erase_if(keys, [&](auto& k) { return k.second.texts.empty() && now >= k.second.restsUntil; });
     }
--- a/src/index/roster.hpp
+++ b/src/index/roster.hpp
@@ -10,12 +10,12 @@
 
 namespace petrelpond {
 
-constexpr uint32_t kNone = DestinationIx::kNone;
+constexpr uint32_t kNone = DestinationIndex::kNone;
 
 struct EndpointSeed {
-    DestinationIx destination;
-    ZoneIx zone;
-    KindIx kind;
+    DestinationIndex destination;
+    ZoneIndex zone;
+    KindIndex kind;
     uint32_t place = 0, next = kNone;                                  // next: of the same destination
     bool active = false, banned = false, gone = false, apart = false;  // apart: its place is its own
     bool usable() const { return active && !banned; }
@@ -26,7 +26,7 @@
 struct Destination {
     DestinationSeed is;
     std::vector<uint32_t> endpoints;
-    std::list<TextIx> waiting;
+    std::list<TextIndex> waiting;
     Instant checkedFor = Instant::longAgo();  // its texts' times were held against this turn,
     size_t unchecked = 0;                     // but for so many of the last
     Instant usedAt = Instant::longAgo();
@@ -89,26 +89,26 @@
 template <class Place, class Endpoint>
 class Roster {
   protected:
-    Destination& destination(DestinationIx ix) {
+    Destination& destination(DestinationIndex ix) {
         if (Destination* d = destinations_.find(ix.value)) return *d;
         Destination& d = destinations_[ix.value];
         d.endpoints = endpointsFrom(endpoints_, d.is.first);
         return d;
     }
-    uint32_t placeOf(EndpointIx ix) const {
+    uint32_t placeOf(EndpointIndex ix) const {
         return ix.value < endpoints_.size() ? endpoints_.seed(ix.value).place : kNone;
     }
     // isApart(kind): endpoints of that kind have a place each; else those of a destination share one.
     template <class IsApart>
     void list(ListScope scope, const std::vector<ListEntry>& entries, bool rates, IsApart isApart) {
-        bool whole = scope == ListScope::whole, all = scope != ListScope::changes;
+        bool whole = scope == ListScope::complete, all = scope != ListScope::changes;
         auto unlist = [&](EndpointSeed& e) { e.active = false, e.gone = e.gone || whole; };
         for (uint32_t i = 0; all && i < endpoints_.size(); ++i) endpoints_.reseed(i, unlist);
         for (const ListEntry& entry : entries) {
             uint32_t ix = entry.endpoint.value;
             endpoints_.cover(ix);
-            if (!endpoints_.seed(ix).destination.known()) place(entry, isApart(entry.kind));
-            bool active = entry.state == Listed::active, gone = entry.state == Listed::gone;
+            if (!endpoints_.seed(ix).destination.isKnown()) place(entry, isApart(entry.kind));
+            bool active = entry.state == ListState::active, gone = entry.state == ListState::removed;
             endpoints_.reseed(ix, [&](EndpointSeed& e) { e.active = active, e.gone = gone; });
             auto relist = [&](auto& place) { place.listedRate = entry.rate; };
             if (rates && entry.rate > 0) places_.reseed(endpoints_.seed(ix).place, relist);
@@ -116,7 +116,7 @@
         for (const ListEntry& entry : entries) dropIfGone(entry.endpoint.value);
         for (uint32_t i = 0; all && i < endpoints_.size(); ++i) dropIfGone(i);
     }
-    void drop(DestinationIx ix) {
+    void drop(DestinationIndex ix) {
         destinations_.rest(ix.value), destinations_.cover(ix.value);
         if (uint32_t at = destinations_.seed(ix.value).place; at != kNone) freePlace(at);
         destinations_.reseed(ix.value, [](DestinationSeed& d) { d = {}; });
@@ -126,7 +126,7 @@
         if (ix >= endpoints_.size()) return;
         const Endpoint* whole = endpoints_.find(ix);
         EndpointSeed e = endpoints_.seed(ix);
-        if (!e.gone || (whole && !whole->out.starts.empty()) || !e.destination.known()) return;
+        if (!e.gone || (whole && !whole->out.starts.empty()) || !e.destination.isKnown()) return;
         unlink(endpoints_, destinations_, ix);
         if (e.apart) freePlace(e.place);
     }
--- a/src/index/texts.hpp
+++ b/src/index/texts.hpp
@@ -16,14 +16,14 @@
     Arrival arrival;
     const Product* product = nullptr;
     Instant firstMayHaveRun = Instant::never(), started;
-    ZoneIx ranIn;
-    EndpointIx at;
+    ZoneIndex ranIn;
+    EndpointIndex at;
     int64_t call = 0;
     int submits = 0;
-    std::list<TextIx>::iterator spot;  // where it waits
+    std::list<TextIndex>::iterator spot;  // where it waits
     // As an earlier life of the sender left it.
     void cameBack() {
-        submits = arrival.submits, ranIn = arrival.ranIn, mayHaveRun = arrival.mayHaveRunSince.has_value();
+        submits = arrival.submits, ranIn = arrival.ranInZone, mayHaveRun = arrival.mayHaveRunSince.has_value();
         firstMayHaveRun = arrival.mayHaveRunSince.value_or(Instant::never());
     }
     bool queued = false, out = false, over = false, mayHaveRun = false, givenUp = false;
--- a/src/index/worth.hpp
+++ b/src/index/worth.hpp
@@ -13,8 +13,8 @@
     if (at >= validUntil) return 0;
     if (late <= 0) return p.revenue;
     double span = std::max((decay == Decay::halving ? p.sla : p.validity - p.sla).inSeconds(), 0.001);
-    if (decay == Decay::halving) return p.revenue * std::max(p.lateShare, std::pow(0.5, late / span));
-    return p.revenue * (1 - (1 - p.lateShare) * std::min(1.0, late / span));
+    if (decay == Decay::halving) return p.revenue * std::max(p.lateRevenueShare, std::pow(0.5, late / span));
+    return p.revenue * (1 - (1 - p.lateRevenueShare) * std::min(1.0, late / span));
 }
 
 }  // namespace petrelpond
--- a/src/logic.cpp
+++ b/src/logic.cpp
@@ -5,7 +5,7 @@
 namespace petrelpond {
 namespace policy {
 
-void Logic::arrived(Instant now, const Arrival& a) {
+void Logic::onArrival(Instant now, const Arrival& a) {
     Text& text = texts_[a.text.value];
     text.arrival = a;
     text.product = a.product.value < products_.size() ? &products_[a.product.value] : nullptr;
@@ -17,34 +17,34 @@
     queue(now, text), boundBacklog(now, text);
 }
 
-void Logic::ended(Instant now, const SubmitEnd& e) {
+void Logic::onSubmitResult(Instant now, const SubmitResult& e) {
     auto found = texts_.find(e.text.value);
     if (found == texts_.end() || !found->second.out) return;
     Text& text = found->second;
     text.out = false, outTexts_.erase(e.text);
-    noteCall(now, text, e), noteRun(now, text, e.end);
+    noteCall(now, text, e), noteRun(now, text, e.status);
     touch(text.arrival.destination.value);
-    e.over || text.over ? forget(e.text) : queue(now, text);
+    e.isFinal || text.over ? forget(e.text) : queue(now, text);
     dropIfGone(e.endpoint.value);
 }
 
-void Logic::withdrawn(Instant, TextIx text) {
+void Logic::onWithdrawn(Instant, TextIndex text) {
     auto found = texts_.find(text.value);
     if (found == texts_.end()) return;
     found->second.over = true, unqueue(found->second);
     if (!found->second.out) forget(text);
 }
 
-std::optional<Decision> Logic::next(Instant now) {
+std::optional<Decision> Logic::nextDecision(Instant now) {
     if (armed_ <= now) armed_ = Instant::never();
     while (!dues_.empty() && std::get<Instant>(*dues_.begin()) <= now) {
         auto [at, what, which] = dues_.extract(dues_.begin()).value();
-        if (what == Falls::idle) toClose_.push_back(EndpointIx(which));
+        if (what == Falls::idle) toClose_.push_back(EndpointIndex(which));
         if (what == Falls::look) which == kNone ? parking_.releaseAll(Row::key) : touch(which);
         if (what != Falls::text) continue;
         auto found = texts_.find(which);
         if (found == texts_.end() || found->second.over || found->second.out) continue;
-        unqueue(found->second), toAnswer_.push_back(TextIx(which));
+        unqueue(found->second), toAnswer_.push_back(TextIndex(which));
     }
     while (!toAnswer_.empty()) {
         auto found = texts_.find(toAnswer_.front().value);
@@ -54,19 +54,19 @@
     if (now >= tickAt_) tick(now);
     if (auto nack = makeRoom(now)) return nack;
     if (out_.empty() && mayStart_) startCall(now);
-    if (!toAnswer_.empty()) return next(now);
+    if (!toAnswer_.empty()) return nextDecision(now);
     if (!out_.empty()) {
         Decision d = std::move(out_.front());
         return out_.pop_front(), d;
     }
     while (!toClose_.empty()) {
-        EndpointIx ix = toClose_.back();
+        EndpointIndex ix = toClose_.back();
         toClose_.pop_back();
         const Endpoint* e = endpoints_.find(ix.value);
-        if (!e) return CloseIdle{ix};  // at rest: silent for long
+        if (!e) return CloseIdleConnections{ix};  // at rest: silent for long
         if (!e->out.starts.empty()) continue;
         Instant end = e->usedAt + sort(*e).idle.span;  // which may have moved on since
-        if (now >= end) return CloseIdle{ix};
+        if (now >= end) return CloseIdleConnections{ix};
         dues_.insert({end, Falls::idle, ix.value});
     }
     Instant wake = dues_.empty() ? tickAt_ : std::min(tickAt_, std::get<Instant>(*dues_.begin()));
@@ -77,40 +77,40 @@
 // Only destinations about which something changed are looked at; what can't go now is parked. Of many
 // that could go so many are compared at a time, in turn (ours): the rest lose a round.
 void Logic::startCall(Instant now) {
-    bool full = room_.calls > 0 && callsOut_ >= room_.calls;
+    bool full = room_.maxCalls > 0 && callsOut_ >= room_.maxCalls;
     if (full) parking_.release(Row::slot, kCompared);
-    bestAt_ = EndpointIx(), bestScore_ = -1;
+    bestAt_ = EndpointIndex(), bestScore_ = -1;
     parking_.row(Row::ready).turn(kCompared, looked_);
     for (uint32_t ix : looked_) consider(now, ix, full);
-    if (bestAt_.known()) full ? freeSlot(now) : submitCall(now, bestAt_, bestText_);
+    if (bestAt_.isKnown()) full ? freeSlot(now) : submitCall(now, bestAt_, bestText_);
 }
 
 void Logic::consider(Instant now, uint32_t ix, bool full) {
-    Destination& d = destination(DestinationIx(ix));
+    Destination& d = destination(DestinationIndex(ix));
     blocked_ = Instant::never(), judge(now, d);
     double takes = callTime(now, d);
     if (!full && !slotFor(d, takes)) return park(ix, Row::slot);
     // Cut off as the process ends, a call may have run, which loses a once-only text for good.
     if (now + Span::seconds(2 * takes) > leavesAt_) return park(ix);
-    EndpointIx at = draw(now, d);
-    at.known() ? offerText(now, d, at, takes) : park(ix);
+    EndpointIndex at = draw(now, d);
+    at.isKnown() ? offerText(now, d, at, takes) : park(ix);
 }
 
-void Logic::submitCall(Instant now, EndpointIx at, TextIx firstText) {
+void Logic::submitCall(Instant now, EndpointIndex at, TextIndex firstText) {
     Endpoint& e = endpoints_[at.value];
     Place& p = places_[e.is.place];
     int64_t call = nextCall_++;
-    std::vector<TextIx> going = {firstText};
-    for (TextIx ix : destination(e.is.destination).waiting) {
+    std::vector<TextIndex> going = {firstText};
+    for (TextIndex ix : destination(e.is.destination).waiting) {
         if (static_cast<int>(going.size()) >= std::max(1, sort(e).kind.batch)) break;
         const Text& t = texts_.at(ix.value);
         if (ix == going.front() || inOrder(t) || !mayGo(t, now, e)) continue;
-        if (p.guard.phase == Phase::down && 2 * t.submits >= room_.submits) continue;
+        if (p.guard.phase == Phase::down && 2 * t.submits >= room_.maxSubmits) continue;
         going.push_back(ix);
     }
     double load = 1 + 0.2 * (static_cast<double>(going.size()) - 1);
     if (e.out.starts.empty()) e.idleAt = e.usedAt;
-    for (TextIx ix : going) {
+    for (TextIndex ix : going) {
         Text& t = texts_.at(ix.value);
         unqueue(t), outTexts_.insert(ix);
         if (t.submits > 0 || p.guard.phase == Phase::down) credit_ -= 1;
@@ -125,7 +125,7 @@
 
 void Logic::tick(Instant now) {  // all periodic work
     tickAt_ = now + Span::millis(250), order_.forgetIdle(now);
-    if (now >= askListAt_) askListAt_ = Instant::never(), out_.push_back(WatchList{});
+    if (now >= askListAt_) askListAt_ = Instant::never(), out_.push_back(SubscribeToList{});
     // Where nothing is delivered at all, so much is tried all the same: all slots once in four seconds.
     credit_ = std::min(credit_ + mostCredit_ / 16, mostCredit_);
     parking_.release(Row::pay, static_cast<size_t>(mostCredit_ / 16) + 1);
@@ -136,9 +136,9 @@
 
 }  // namespace policy
 
-std::unique_ptr<Sender> makeSender(uint32_t seed, std::vector<Product> products, std::vector<Kind> kinds,
-                                   const Crew& crew, const Room& room, const ColdRule& cold,
-                                   const ListRule& list, Decay decay, const Links& links) {
+std::unique_ptr<Sender> makeSender(uint32_t seed, std::vector<Product> products, std::vector<EndpointKind> kinds,
+                                   const SenderGroup& crew, const SenderLimits& room, const ColdStartRule& cold,
+                                   const EndpointListRule& list, Decay decay, const ConnectionRule& links) {
     return std::make_unique<policy::Logic>(seed, std::move(products), std::move(kinds), crew, room, cold,
                                            list, decay, links);
 }
--- a/src/policy/endpoints.cpp
+++ b/src/policy/endpoints.cpp
@@ -13,14 +13,14 @@
 }
 
 // Drawn by room among those whose place may have a call now.
-EndpointIx Logic::draw(Instant now, const Destination& d) {
-    EndpointIx drawn;
+EndpointIndex Logic::draw(Instant now, const Destination& d) {
+    EndpointIndex drawn;
     double sum = 0;
     for (uint32_t e : d.endpoints) {
         double room = roomAt(now, endpoints_[e]);
         if (room <= 0 || !paced(now, endpoints_[e])) continue;
         sum += room;
-        if (chance_.between(0, sum) < room) drawn = EndpointIx(e);
+        if (chance_.between(0, sum) < room) drawn = EndpointIndex(e);
     }
     return drawn;
 }
@@ -47,8 +47,8 @@
     if (e.is.apart && p.fleetRate() > 0) return p.fleetRate();  // their limits differ
     room = std::max(room, 1.0);
     // A connection that lies idle is room at hand: it saves a handshake, and a place in a full table.
-    bool idle = e.out.starts.empty() && now - e.usedAt < std::min(sort(e).idle.span, links_.idle);
-    double tight = room_.calls > 0 ? static_cast<double>(callsOut_) / room_.calls : 0;
+    bool idle = e.out.starts.empty() && now - e.usedAt < std::min(sort(e).idle.span, links_.idleTimeout);
+    double tight = room_.maxCalls > 0 ? static_cast<double>(callsOut_) / room_.maxCalls : 0;
     room *= std::pow(usualTime_ / std::max(e.times.mean(0, usualTime_), 0.001), 6 * tight);
     return many() && idle ? room * 3 : room;
 }
--- a/src/policy/known.cpp
+++ b/src/policy/known.cpp
@@ -3,19 +3,19 @@
 
 namespace petrelpond::policy {
 
-void Logic::listed(Instant, ListScope scope, const std::vector<ListEntry>& entries) {
-    if (scope != ListScope::old) listFailures_ = 0;
-    list(scope, entries, listRule_.ratesListed, [&](KindIx kind) { return sort(kind).kind.separateRoutes; });
+void Logic::onEndpointList(Instant, ListScope scope, const std::vector<ListEntry>& entries) {
+    if (scope != ListScope::cached) listFailures_ = 0;
+    list(scope, entries, listRule_.includesRates, [&](KindIndex kind) { return sort(kind).kind.separateRoutes; });
     for (const ListEntry& entry : entries) touch(entry.destination.value);
 }
 
 // Given back it is cold: a place with no other endpoint comes back by a trial and its budget, one among
 // fellows by the trickle of one set aside. Harm: one that kept warm waits.
-void Logic::banned(Instant now, EndpointIx ix, bool out) {
+void Logic::setEndpointDisabled(Instant now, EndpointIndex ix, bool out) {
     endpoints_.reseed(ix.value, [&](EndpointSeed& e) { e.banned = out; });
-    DestinationIx d = endpoints_.seed(ix.value).destination;
+    DestinationIndex d = endpoints_.seed(ix.value).destination;
     touch(d.value);
-    if (out || !d.known()) return;
+    if (out || !d.isKnown()) return;
     Endpoint& e = endpoints_[ix.value];
     Place& p = places_[e.is.place];
     e.times = AnswerTimes(), e.misses = 0;
@@ -26,10 +26,10 @@
 }
 
 // Jittered, as all may break at once; sooner than we are deemed told, so that drains are kept.
-void Logic::listFailed(Instant now) {
-    if (!listRule_.onRequest) return;
+void Logic::onEndpointListFailed(Instant now) {
+    if (!listRule_.changesOnRequest) return;
     double pause = std::min(0.4 * std::pow(2, listFailures_++), 4.0);
-    if (listRule_.mustAskIn > Span()) pause = std::min(pause, listRule_.mustAskIn.inSeconds() / 3);
+    if (listRule_.maxRequestInterval > Span()) pause = std::min(pause, listRule_.maxRequestInterval.inSeconds() / 3);
     askListAt_ = now + chance_.about(Span::seconds(pause));
 }
 
@@ -54,7 +54,7 @@
 }
 
 // Times from now. What the process that takes over has seen itself since stays where it is the worse.
-std::vector<double> Logic::learned(Instant now, EndpointIx ix) {
+std::vector<double> Logic::exportEndpointState(Instant now, EndpointIndex ix) {
     uint32_t at = placeOf(ix);
     if (at == kNone || (!places_.find(at) && !places_.seed(at).kept)) return {};
     const Place& p = places_[at];
@@ -66,8 +66,8 @@
             g.before,          paced, p.bucket.trust, p.reportedRate,  e.trickle};
 }
 
-bool Logic::recall(Instant now, EndpointIx ix, const std::vector<double>& l) {
-    if (l.size() != 10 || !endpoints_.seed(ix.value).destination.known()) return false;
+bool Logic::importEndpointState(Instant now, EndpointIndex ix, const std::vector<double>& l) {
+    if (l.size() != 10 || !endpoints_.seed(ix.value).destination.isKnown()) return false;
     auto at = [&](size_t i) { return now + Span::seconds(l[i]); };
     Endpoint& e = endpoints_[ix.value];
     Place& p = places_[e.is.place];
@@ -80,7 +80,7 @@
     return touch(e.is.destination.value), now < p.toldUntil;
 }
 
-std::string Logic::belief(Instant now, EndpointIx ix) const {
+std::string Logic::describeEndpoint(Instant now, EndpointIndex ix) const {
     const Place* p = places_.find(placeOf(ix));
     if (!p) return "nothing";
     const char* phase[] = {"clear", "down", "returning"};
--- a/src/policy/logic.hpp
+++ b/src/policy/logic.hpp
@@ -69,56 +69,56 @@
 
 // What is learned by kind of endpoint, as one endpoint is met too seldom in a big crew.
 struct Sort {
-    Kind kind;
+    EndpointKind kind;
     IdleBound idle;
     double pace;  // calls a second of a bound sender whose slice is thinner (ours)
 };
 
 class Logic final : public Sender, Roster<Place, Endpoint> {
   public:
-    Logic(uint32_t seed, std::vector<Product> products, std::vector<Kind> kinds, const Crew& crew,
-          const Room& room, const ColdRule& cold, const ListRule& list, Decay decay, const Links& links)
+    Logic(uint32_t seed, std::vector<Product> products, std::vector<EndpointKind> kinds, const SenderGroup& crew,
+          const SenderLimits& room, const ColdStartRule& cold, const EndpointListRule& list, Decay decay, const ConnectionRule& links)
         : chance_{std::mt19937(seed)}, products_(std::move(products)), crew_(crew), room_(room), cold_(cold),
           listRule_(list), decay_(decay), links_(links) {
         crew_.senders = std::max(1, crew_.senders);
         kinds.emplace_back();  // for those of no known kind
-        for (const Kind& k : kinds) sorts_.push_back({k, IdleBound(links.idle, crew_.senders, many()), 0.2});
-        if (list.onRequest) askListAt_ = Instant::longAgo();
-        if (room.calls > 0) mostCredit_ = credit_ = room.calls;
+        for (const EndpointKind& k : kinds) sorts_.push_back({k, IdleBound(links.idleTimeout, crew_.senders, many()), 0.2});
+        if (list.changesOnRequest) askListAt_ = Instant::longAgo();
+        if (room.maxCalls > 0) mostCredit_ = credit_ = room.maxCalls;
     }
-    void arrived(Instant now, const Arrival& a) override;
-    void ended(Instant now, const SubmitEnd& e) override;
-    void withdrawn(Instant, TextIx text) override;
-    void listed(Instant, ListScope scope, const std::vector<ListEntry>& entries) override;
-    void listFailed(Instant now) override;
-    void banned(Instant now, EndpointIx ix, bool out) override;
-    void forgotten(Instant, DestinationIx d) override { drop(d); }
-    void mayStart(Instant, bool may) override { mayStart_ = may; }
-    std::vector<double> learned(Instant now, EndpointIx ix) override;
-    bool recall(Instant now, EndpointIx ix, const std::vector<double>& l) override;
-    void leaving(Instant by) override { leavesAt_ = by; }
-    std::optional<Decision> next(Instant now) override;
-    std::string belief(Instant now, EndpointIx ix) const override;
+    void onArrival(Instant now, const Arrival& a) override;
+    void onSubmitResult(Instant now, const SubmitResult& e) override;
+    void onWithdrawn(Instant, TextIndex text) override;
+    void onEndpointList(Instant, ListScope scope, const std::vector<ListEntry>& entries) override;
+    void onEndpointListFailed(Instant now) override;
+    void setEndpointDisabled(Instant now, EndpointIndex ix, bool out) override;
+    void onDestinationRemoved(Instant, DestinationIndex d) override { drop(d); }
+    void setCallsAllowed(Instant, bool may) override { mayStart_ = may; }
+    std::vector<double> exportEndpointState(Instant now, EndpointIndex ix) override;
+    bool importEndpointState(Instant now, EndpointIndex ix, const std::vector<double>& l) override;
+    void onShutdown(Instant by) override { leavesAt_ = by; }
+    std::optional<Decision> nextDecision(Instant now) override;
+    std::string describeEndpoint(Instant now, EndpointIndex ix) const override;
 
   private:
     // The ordinary path.
     void startCall(Instant now);
     void consider(Instant now, uint32_t ix, bool full);
-    void submitCall(Instant now, EndpointIx at, TextIx firstText);
+    void submitCall(Instant now, EndpointIndex at, TextIndex firstText);
     void tick(Instant now);
     // known.cpp: what is known of who is listed.
     void restIfStill(Instant now, uint32_t ix);
     // ends.cpp: what the end of a call tells.
-    void noteCall(Instant now, const Text& text, const SubmitEnd& e);
+    void noteCall(Instant now, const Text& text, const SubmitResult& e);
     // endpoints.cpp: which endpoint gets a call.
     double callTime(Instant now, const Destination& d);
-    EndpointIx draw(Instant now, const Destination& d);
+    EndpointIndex draw(Instant now, const Destination& d);
     double roomAt(Instant now, const Endpoint& e);
     bool paced(Instant now, const Endpoint& e);
     void judge(Instant now, const Destination& d);
     void setAside(Instant now, Endpoint& e);
     // again.cpp: what may go, what may have run, and what is answered in its place.
-    void noteRun(Instant now, Text& t, End end);
+    void noteRun(Instant now, Text& t, SubmitStatus end);
     bool maySubmitAgain(Instant now, const Text& t) const;
     bool mayGo(const Text& t, Instant now, const Endpoint& e) const;
     void restKey(Instant now, const Text& t);
@@ -127,17 +127,17 @@
     // order.cpp: which text first, and which for want of room goes.
     void queue(Instant now, Text& t);
     void unqueue(Text& t);
-    void forget(TextIx ix);
+    void forget(TextIndex ix);
     void boundBacklog(Instant now, Text& text);
-    void offerText(Instant now, const Destination& d, EndpointIx at, double takes);
+    void offerText(Instant now, const Destination& d, EndpointIndex at, double takes);
     std::optional<Decision> makeRoom(Instant now);
     bool slotFor(const Destination& d, double takes);
     void freeSlot(Instant now);
 
     bool many() const { return crew_.senders > kFew; }
-    Sort& sort(KindIx kind) { return sorts_[std::min<size_t>(kind.value, sorts_.size() - 1)]; }
+    Sort& sort(KindIndex kind) { return sorts_[std::min<size_t>(kind.value, sorts_.size() - 1)]; }
     Sort& sort(const Endpoint& e) { return sort(e.is.kind); }
-    Span lastCall() const { return room_.tick * 2 + Span::millis(1); }
+    Span lastCall() const { return room_.roundInterval * 2 + Span::millis(1); }
     bool inOrder(const Text& t) const { return t.arrival.key && t.product && t.product->inOrder; }
     double worth(const Text& t, Instant at) const {
         return earns(*t.product, t.arrival.validUntil, at, decay_);
@@ -146,7 +146,7 @@
         return std::max(1.2 * p.times.slowest * load, 3 * usualTime_);
     }
     // A nack promises that nothing took effect that a repeat would double.
-    static bool mayNack(const Text& t) { return !t.mayHaveRun || t.product->effect == Effect::resendable; }
+    static bool mayNack(const Text& t) { return !t.mayHaveRun || t.product->effect == Effect::idempotent; }
     double blockedUntil(Instant at) { return blocked_ = std::min(blocked_, at), 0; }
     // Something about it changed, so that a text there may go.
     void touch(uint32_t ix) {
@@ -163,27 +163,27 @@
     Chance chance_;
     std::vector<Product> products_;
     std::vector<Sort> sorts_;
-    Crew crew_;
-    Room room_;
-    ColdRule cold_;
-    ListRule listRule_;
+    SenderGroup crew_;
+    SenderLimits room_;
+    ColdStartRule cold_;
+    EndpointListRule listRule_;
     Decay decay_;
-    Links links_;
+    ConnectionRule links_;
     KeyOrder order_;
     std::set<uint32_t> waiting_;  // destinations with texts to go
     Parking parking_;             // of those
     std::vector<uint32_t> looked_;
     std::vector<double> fellows_;
-    EndpointIx bestAt_;  // of those compared
-    TextIx bestText_;
+    EndpointIndex bestAt_;  // of those compared
+    TextIndex bestText_;
     Instant blocked_;  // of the destination looked at: when to look again
     std::unordered_map<uint32_t, Text> texts_;
-    std::set<TextIx> outTexts_;
+    std::set<TextIndex> outTexts_;
     std::map<int64_t, Call> calls_;
     std::set<Due> dues_;
     std::deque<Decision> out_;
-    std::deque<TextIx> toAnswer_;
-    std::vector<EndpointIx> toClose_;
+    std::deque<TextIndex> toAnswer_;
+    std::vector<EndpointIndex> toClose_;
     Instant tickAt_ = Instant::longAgo(), armed_ = Instant::never(), askListAt_ = Instant::never();
     Instant leavesAt_ = Instant::never();
     bool mayStart_ = true;
--- a/src/policy/outage.hpp
+++ b/src/policy/outage.hpp
@@ -14,17 +14,17 @@
     Phase phase = Phase::clear;
     Instant trialAt;
 
-    void missed(Instant now, Instant started, End end, Span wait, double slice, bool many,
-                const ColdRule& cold, Chance& chance) {
+    void missed(Instant now, Instant started, SubmitStatus end, Span wait, double slice, bool many,
+                const ColdStartRule& cold, Chance& chance) {
         bool nothingSince = deliveredAt < started;
-        failing = 0.75 * failing + (end == End::full ? 0 : 0.25);
-        failingLong = 0.95 * failingLong + (end == End::full ? 0 : 0.05);
+        failing = 0.75 * failing + (end == SubmitStatus::overloaded ? 0 : 0.25);
+        failingLong = 0.95 * failingLong + (end == SubmitStatus::overloaded ? 0 : 0.05);
         // Refused for longer than this sender's slice explains, with nothing delivered: the place is shut.
-        if (end == End::full && started >= missAt && nothingSince && fullRounds++ == 0) fullSince = now;
+        if (end == SubmitStatus::overloaded && started >= missAt && nothingSince && fullRounds++ == 0) fullSince = now;
         bool shut = fullRounds >= 3 && (now - fullSince).inSeconds() > std::max(1.5, 3 / slice);
-        bool out = end == End::full                         ? shut || wait >= cold.window
-                   : end == End::error || end == End::reset ? failing > 0.4
-                   : end == End::timeout                    ? nothingSince && ++silent >= 2
+        bool out = end == SubmitStatus::overloaded                         ? shut || wait >= cold.overloadWindow
+                   : end == SubmitStatus::error || end == SubmitStatus::reset ? failing > 0.4
+                   : end == SubmitStatus::timeout                    ? nothingSince && ++silent >= 2
                                                             : nothingSince;
         missAt = now;
         if (phase != Phase::down && !out) return;
@@ -39,11 +39,11 @@
         trialAt = now + std::max(chance.about(Span::seconds(pause)),
                                  wait + Span::seconds(chance.between(0, apart)));
     }
-    static double coldPart(double slice, const ColdRule& cold) {
-        return std::max(std::max(cold.multiple, 1.0) * cold.share * slice, 0.001);
+    static double coldPart(double slice, const ColdStartRule& cold) {
+        return std::max(std::max(cold.overloadFactor, 1.0) * cold.initialShare * slice, 0.001);
     }
     // Known to be cold: its first call is a trial, and of many senders each has a moment of its own.
-    void restarted(Instant now, double slice, bool many, const ColdRule& cold, Chance& chance) {
+    void restarted(Instant now, double slice, bool many, const ColdStartRule& cold, Chance& chance) {
         before = std::max(slice, before), phase = Phase::down, downAt = now, deliveredAt = Instant::longAgo();
         double within = many ? std::min(0.04 / coldPart(slice, cold), 6.0) : 0.1;
         trialAt = now + Span::seconds(chance.between(0, within));
@@ -54,13 +54,13 @@
         if (phase == Phase::down) phase = brief ? Phase::clear : Phase::returning, returnedAt = now;
     }
     // This sender's part of what a returning place may be sent, calls a second; 0 where nothing binds.
-    double budget(Instant now, double slice, bool many, const ColdRule& cold) {
+    double budget(Instant now, double slice, bool many, const ColdStartRule& cold) {
         if (phase != Phase::returning) return 0;
-        double warmed = cold.warmUp > Span() ? (now - returnedAt).inSeconds() / cold.warmUp.inSeconds() : 1;
+        double warmed = cold.warmUpTime > Span() ? (now - returnedAt).inSeconds() / cold.warmUpTime.inSeconds() : 1;
         if (warmed >= 1) phase = Phase::clear;
-        double share = cold.share + (1 - cold.share) * std::min(warmed, 1.0);
+        double share = cold.initialShare + (1 - cold.initialShare) * std::min(warmed, 1.0);
         double turn = many ? 1 / std::max(0.5, (returnedAt - downAt).inSeconds()) : 0;
-        return 0.9 * std::max(cold.multiple, 1.0) * share * std::max(slice, turn);
+        return 0.9 * std::max(cold.overloadFactor, 1.0) * share * std::max(slice, turn);
     }
 
     Instant deliveredAt = Instant::longAgo(), missAt = Instant::longAgo(), fullSince, returnedAt, downAt;
--- a/src/program/serving.cpp
+++ b/src/program/serving.cpp
@@ -68,10 +68,10 @@
     if (!config.ops.empty() && !opsListener.open())
         log.say(Level::error, "no calls by operators: cannot listen at " + config.ops + ": " + problem);
     // Descriptors: a few are the process's own, half of the rest the clients', half the endpoints'.
-    Room room = readRoom(config.settings);
+    SenderLimits room = readRoom(config.settings);
     auto free = static_cast<int>(config.sockets - 32);
     int linesMost = std::max(free / 2, 8);
-    if (room.calls > 0) linesMost = std::max(std::min(linesMost, 3 * room.calls + 16), free / 3);
+    if (room.maxCalls > 0) linesMost = std::max(std::min(linesMost, 3 * room.maxCalls + 16), free / 3);
     if (opsListener.open()) free -= OperatorsActor::kCallers;
     if (!config.crewListen.empty()) free -= CrewRoom::kDescriptors;
     if (shared) free -= kForSuccessor;
@@ -81,7 +81,7 @@
     auto pool = static_cast<int>(
         std::max<int64_t>(config.memoryMb * 1000000 / 4 / static_cast<int64_t>(Buffers::kSize), 32));
     int forCalls = pool / 2;
-    if (room.calls > 0) forCalls = std::min(forCalls, room.calls + 4);
+    if (room.maxCalls > 0) forCalls = std::min(forCalls, room.maxCalls + 4);
     Buffers buffers(static_cast<size_t>(forCalls)), clientBuffers(static_cast<size_t>(pool - forCalls));
     // Both processes of a sender that is being replaced have its descriptors together.
     auto start = succession::startOf(generations::found(config.state), shared && config.replica.empty());
@@ -114,13 +114,13 @@
     if (!works) log.say(Level::error, "no store in " + config.state + ": nothing can be taken on");
     NoticeActor notices(config.discovery, buffers, inbox, log);
     // A watch is kept short, so that one whose connection died unseen is soon replaced.
-    ListRule rule = readListRule(config.settings);
-    Span mustAskIn = rule.mustAskIn;
-    AskPlan plan(static_cast<uint32_t>(config.seed >> 16), readCrewSize(config.settings), rule.onRequest,
+    EndpointListRule rule = readListRule(config.settings);
+    Span mustAskIn = rule.maxRequestInterval;
+    AskPlan plan(static_cast<uint32_t>(config.seed >> 16), readCrewSize(config.settings), rule.changesOnRequest,
                  mustAskIn > Span() ? mustAskIn : kMustAskIn, kWatch);
     ListActor list(config.discovery, config.known.revision, !config.known.members.empty(), plan, buffers,
                    inbox, log);
-    Clients clients(std::move(listener), shared, clientsMost / share, room.longestPause, clientBuffers, inbox, log);
+    Clients clients(std::move(listener), shared, clientsMost / share, room.maxNackPause, clientBuffers, inbox, log);
 
     ListedIds listed;
     std::string damaged;
@@ -142,7 +142,7 @@
                       &log,
                       {fieldName(reported.limit), fieldName(reported.left)},
                       connectWithin,
-                      readLinks(config.settings).idle,
+                      readLinks(config.settings).idleTimeout,
                       [inbox](CallEnd end) { inbox->postHeld(std::move(end)); }};
     ways.notify = [&](Notice notice) { notices.notify(std::move(notice)); };
     ways.ready = [&] {
--- a/src/protocol/messages.cpp
+++ b/src/protocol/messages.cpp
@@ -166,7 +166,7 @@
         if (const json::Value* size = item.member("size")) m.rate = std::max(size->number, 0.0);
         std::string_view phase = item.textOf("phase");
         // A phase not known here is no leave to send.
-        m.state = phase == "ready" ? Listed::active : phase == "gone" ? Listed::gone : Listed::leaving;
+        m.state = phase == "ready" ? ListState::active : phase == "gone" ? ListState::removed : ListState::draining;
         if (m.id.empty()) continue;  // the rest may hold a drain
         out.members.push_back(std::move(m));
     }
--- a/src/protocol/messages.hpp
+++ b/src/protocol/messages.hpp
@@ -59,7 +59,7 @@
 
 struct Member {
     std::string id, address, zone, kind, destination;
-    Listed state = Listed::active;
+    ListState state = ListState::active;
     double rate = 0;
 };
 struct MemberList {
--- a/src/protocol/settings.cpp
+++ b/src/protocol/settings.cpp
@@ -75,18 +75,18 @@
     for (int64_t i = 0; i < set.integer("lanes.count"); ++i) {
         std::string at = "lanes.";
         at.append(std::to_string(i)).append(".");
-        names.products.admit(set.text(at + "name"));
+        names.products.intern(set.text(at + "name"));
         Product p;
         p.sla = span(set, at + "aim");
         p.validity = span(set, at + "deadline");
-        p.effect = named<Effect>(set.text(at + "effect"), {{"read_like", Effect::resendable},
-                                                           {"idempotency_key", Effect::referenced},
-                                                           {"non_idempotent", Effect::onceOnly},
-                                                           {"", Effect::onceOnly}});
-        p.memory = span(set, at + "window");
-        p.memoryByZone = !set.text(at + "group").empty() && set.text(at + "group") != "all";
+        p.effect = named<Effect>(set.text(at + "effect"), {{"read_like", Effect::idempotent},
+                                                           {"idempotency_key", Effect::idempotencyKey},
+                                                           {"non_idempotent", Effect::nonIdempotent},
+                                                           {"", Effect::nonIdempotent}});
+        p.dedupWindow = span(set, at + "window");
+        p.dedupPerZone = !set.text(at + "group").empty() && set.text(at + "group") != "all";
         p.revenue = set.number(at + "worth", 1);
-        p.lateShare = set.number(at + "lateWorth");
+        p.lateRevenueShare = set.number(at + "lateWorth");
         p.inOrder = set.flag(at + "fifoByKey");
         products.push_back(p);
     }
@@ -95,12 +95,12 @@
 
 }  // namespace
 
-std::vector<Kind> readKinds(const Settings& set, Names& names) {
-    std::vector<Kind> kinds;
+std::vector<EndpointKind> readKinds(const Settings& set, Names& names) {
+    std::vector<EndpointKind> kinds;
     auto batches = set.list("domain.batchByKind"), routes = set.list("domain.separateRoutes");
     for (std::string_view name : set.list("kinds")) {
-        names.kinds.admit(name);
-        Kind kind;
+        names.kinds.intern(name);
+        EndpointKind kind;
         if (kinds.size() < batches.size()) {
             kind.batch = static_cast<int>(toInteger("domain.batchByKind", batches[kinds.size()]));
         }
@@ -122,12 +122,12 @@
     std::set<std::string> ordered;
     auto products = readProducts(set, names);
     for (size_t i = 0; i < products.size(); ++i) {
-        if (products[i].inOrder) ordered.insert(names.products.name(ProductIx(i)));
+        if (products[i].inOrder) ordered.insert(names.products.name(ProductIndex(i)));
     }
     return ordered;
 }
 
-Room readRoom(const Settings& set) {
+SenderLimits readRoom(const Settings& set) {
     return {static_cast<int>(set.integer("domain.maxCalls")),
             static_cast<int>(set.integer("limits.mostHeld")),
             static_cast<int>(set.integer("limits.maxAttempts")),
@@ -136,13 +136,13 @@
             set.flag("limits.retryAfter") ? span(set, "limits.maxRetryAfter") : Span()};
 }
 
-Links readLinks(const Settings& set) {
+ConnectionRule readLinks(const Settings& set) {
     return {span(set, "limits.connIdle"), span(set, "contract.orderSettle")};
 }
 
 int readCrewSize(const Settings& set) { return static_cast<int>(set.integer("balancers", 1)); }
 
-ListRule readListRule(const Settings& set) {
+EndpointListRule readListRule(const Settings& set) {
     std::string_view weights = set.text("weights");
     return {set.text("membershipMode") == "subscribe", weights == "nominal" || weights == "rough",
             span(set, "contract.mustAskIn")};
@@ -162,9 +162,9 @@
 std::unique_ptr<Sender> readSender(const Settings& set, uint64_t seed, Names& names) {
     auto products = readProducts(set, names);
     auto kinds = readKinds(set, names);
-    for (std::string_view name : set.list("failureDomains")) names.zones.admit(name);
-    Crew crew{readCrewSize(set), names.zones.admit(set.text("zone"))};
-    ColdRule cold{set.number("contract.coldFrom"), span(set, "contract.cold"),
+    for (std::string_view name : set.list("failureDomains")) names.zones.intern(name);
+    SenderGroup crew{readCrewSize(set), names.zones.intern(set.text("zone"))};
+    ColdStartRule cold{set.number("contract.coldFrom"), span(set, "contract.cold"),
                   set.number("contract.tipMultiple"), span(set, "contract.fall")};
     Decay decay = set.text("domain.decay") == "halving" ? Decay::halving : Decay::linear;
     return makeSender(static_cast<uint32_t>(seed ^ (seed >> 32)), std::move(products), std::move(kinds), crew,
--- a/src/protocol/settings.hpp
+++ b/src/protocol/settings.hpp
@@ -51,19 +51,19 @@
 
 // The names that the settings know, by small indices.
 struct Names {
-    Door<EndpointIx> endpoints;
-    Door<DestinationIx> destinations;
-    Door<ProductIx> products;
-    Door<ZoneIx> zones;
-    Door<KindIx> kinds;
+    NameTable<EndpointIndex> endpoints;
+    NameTable<DestinationIndex> destinations;
+    NameTable<ProductIndex> products;
+    NameTable<ZoneIndex> zones;
+    NameTable<KindIndex> kinds;
 };
 
-std::vector<Kind> readKinds(const Settings& set, Names& names);
-Room readRoom(const Settings& set);
+std::vector<EndpointKind> readKinds(const Settings& set, Names& names);
+SenderLimits readRoom(const Settings& set);
 std::set<std::string> readOrdered(const Settings& set);  // products whose keys keep their order
 Span readLongestValidity(const Settings& set);  // of all products
-Links readLinks(const Settings& set);
-ListRule readListRule(const Settings& set);
+ConnectionRule readLinks(const Settings& set);
+EndpointListRule readListRule(const Settings& set);
 int readCrewSize(const Settings& set);
 // The places in a load report of the limit in calls a second and of the share of it that is left; -1 where
 // answers carry none.
--- a/src/routing/endpoint_actor.cpp
+++ b/src/routing/endpoint_actor.cpp
@@ -63,7 +63,7 @@
     }
 
     // The actor's own notes.
-    std::vector<TextIx> texts;
+    std::vector<TextIndex> texts;
     Instant until, idleSince;
     bool abandoned = false;
 
@@ -158,13 +158,13 @@
     bool writing_ = false;
 };
 
-void EndpointActor::post(Mail::What what, TextIx text) {
+void EndpointActor::post(Mail::What what, TextIndex text) {
     ways_.loop->mailbox_.postHeld({what, shared_from_this(), {}, text, nullptr, {}});
 }
 bool EndpointActor::call(Call call) {
     return ways_.loop->mailbox_.post({Mail::What::call, shared_from_this(), std::move(call), {}, nullptr, {}});
 }
-void EndpointActor::cancel(TextIx text) { post(Mail::What::cancel, text); }
+void EndpointActor::cancel(TextIndex text) { post(Mail::What::cancel, text); }
 void EndpointActor::closeIdle() { post(Mail::What::closeIdle); }
 void EndpointActor::holdBack() { post(Mail::What::holdBack); }
 void EndpointActor::retire() { post(Mail::What::retire); }
--- a/src/routing/endpoint_actor.hpp
+++ b/src/routing/endpoint_actor.hpp
@@ -22,14 +22,14 @@
 namespace petrelpond {
 
 struct Call {
-    std::vector<TextIx> texts;
+    std::vector<TextIndex> texts;
     std::vector<Parcel> parcels;  // of the same texts
     Instant until;                // given up then
 };
 
 struct CallEnd {
-    EndpointIx endpoint;
-    std::vector<TextIx> texts;
+    EndpointIndex endpoint;
+    std::vector<TextIndex> texts;
     Ending ending = Ending::noMeans;
     Answer answer;       // a verdict for each text where the ending is an answer
     bool fresh = false;  // a connection was made for it
@@ -55,7 +55,7 @@
         enum class What { call, cancel, closeIdle, holdBack, retire, done } what;
         std::shared_ptr<EndpointActor> to;
         Call call;
-        TextIx text;
+        TextIndex text;
         std::shared_ptr<Line> line;
         CallEnd end;
     };
@@ -74,12 +74,12 @@
         Span connectWithin, idle;
         std::function<void(CallEnd)> ended;
     };
-    EndpointActor(EndpointIx endpoint, const std::string& address, Ways ways)
+    EndpointActor(EndpointIndex endpoint, const std::string& address, Ways ways)
         : endpoint_(endpoint), address_(address), ways_(std::move(ways)) {}
 
     // False where the mailbox is full: the call has not left.
     [[nodiscard]] bool call(Call call);
-    void cancel(TextIx text);
+    void cancel(TextIndex text);
     void closeIdle();
     void holdBack();  // calls of which nothing has left are ended so, as nothing new may go for now
     void retire();    // ends once no call is out
@@ -89,7 +89,7 @@
     using Line = EndpointLoop::Line;
     using Mail = EndpointLoop::Mail;
 
-    void post(Mail::What what, TextIx text = TextIx());
+    void post(Mail::What what, TextIndex text = TextIndex());
     // The loop's thread alone, as all that follows.
     void take(Mail& mail);
     void begin(Call call);
@@ -97,7 +97,7 @@
     void endIdle(bool all);
     Instant settle(Instant now);  // ends what is due, and tells when to look again
 
-    EndpointIx endpoint_;
+    EndpointIndex endpoint_;
     std::string address_;
     Ways ways_;
     std::list<std::shared_ptr<Line>> busy_, idle_;  // idle: the last used first
--- a/src/routing/module_actor.cpp
+++ b/src/routing/module_actor.cpp
@@ -46,13 +46,13 @@
       taken_(std::move(stock.taken)), heir_(stock.heir), ordered_(readOrdered(settings)), ways_(std::move(ways)) {
     Names unused;
     kinds_ = readKinds(settings, unused);
-    busy_ = readRoom(settings).longestPause;
+    busy_ = readRoom(settings).maxNackPause;
     longestValidity_ = readLongestValidity(settings) + kLeeway;
 }
 
 void ModuleActor::run() {
     Instant now = steadyNow();
-    sender_->mayStart(now, heir_.serves());
+    sender_->setCallsAllowed(now, heir_.serves());
     for (auto& [number, store] : taken_) resume(now, number, *store);
     resume(now, own_, *store_);
     keep(true);  // counts what the store found at its start
@@ -72,7 +72,7 @@
     Instant now = steadyNow();
     bool due = !timers_.empty() && *timers_.begin() <= now;
     while (!timers_.empty() && *timers_.begin() <= now) timers_.erase(timers_.begin());
-    if (due) sender_->woke(now);
+    if (due) sender_->onTimer(now);
     for (ModuleMail& m : mail) take(now, m);
     if (!behind_.empty()) inTurn(now);
     if (shares_ || !taken_.empty() || !heir_.complete()) shareRoom();
@@ -100,7 +100,7 @@
                 keep(store.over(id));
                 continue;
             }
-            sender_->withdrawn(now, twice->second);
+            sender_->onWithdrawn(now, twice->second);
             if (here.reply) here.reply->postHeld({Reception::What::taken, Span()});
             here.over = true, keep(store_->over(id)), drop(twice->second);
         }
@@ -114,12 +114,12 @@
             keep(store.ended(id, true));
             text = store.texts().at(id);
         }
-        TextIx index = freshText();
+        TextIndex index = freshText();
         Row& row = rows_[index.value];
         // Its body is read when it is sent.
         row.id = id, row.parcel = {id, text.mark, nullptr}, row.submits = text.submits;
         row.validUntil = instant(text.validUntil), row.cameAt = now;
-        row.destination = names_.destinations.admit(text.destination), row.product = text.product;
+        row.destination = names_.destinations.intern(text.destination), row.product = text.product;
         if (row.destination.value >= users_.size()) users_.resize(row.destination.value + 1);
         ++users_[row.destination.value].texts;
         texts_[id] = index;
@@ -128,7 +128,7 @@
         a.validUntil = row.validUntil, a.submits = text.submits;
         if (!text.key.empty()) a.key = std::hash<std::string>()(text.key);
         if (text.mayHaveRun) a.mayHaveRunSince = instant(text.firstMayHaveRun);
-        if (text.mayHaveRun) a.ranIn = names_.zones.admit(text.ranIn);
+        if (text.mayHaveRun) a.ranInZone = names_.zones.intern(text.ranIn);
         arrive(now, a, number);
         ways_.report->add(Count::textsResumed);
     }
@@ -144,7 +144,7 @@
 // A text in order whose elders are still with another process waits for them, and for its own time.
 void ModuleActor::arrive(Instant now, const Arrival& a, succession::Number number) {
     bool waits = a.key && !heir_.inTurn(number) && ordered_.count(rows_.at(a.text.value).product) > 0;
-    if (!waits) return sender_->arrived(now, a);
+    if (!waits) return sender_->onArrival(now, a);
     behind_.push_back({a, number});
     timers_.insert(a.validUntil - kLeeway * 0.1);
 }
@@ -155,17 +155,17 @@
     });
     // Of the eldest first; the partition keeps the order in which those of one generation were taken on.
     std::stable_sort(ready, behind_.end(), [](const Behind& a, const Behind& b) { return a.number < b.number; });
-    for (auto at = ready; at != behind_.end(); ++at) sender_->arrived(now, at->arrival);
+    for (auto at = ready; at != behind_.end(); ++at) sender_->onArrival(now, at->arrival);
     behind_.erase(ready, behind_.end());
 }
 
 void ModuleActor::handOver(Instant now, HandOverMail& mail) {
-    sender_->mayStart(now, false);
+    sender_->setCallsAllowed(now, false);
     std::string lines;
     for (uint32_t i = 0; i < places_.size(); ++i) {
         if (places_[i].actor) places_[i].actor->holdBack();
-        auto numbers = places_[i].destination.known() ? sender_->learned(now, EndpointIx(i)) : std::vector<double>();
-        if (!numbers.empty()) lines += succession::learnedLine(names_.endpoints.name(EndpointIx(i)), numbers);
+        auto numbers = places_[i].destination.isKnown() ? sender_->exportEndpointState(now, EndpointIndex(i)) : std::vector<double>();
+        if (!numbers.empty()) lines += succession::learnedLine(names_.endpoints.name(EndpointIndex(i)), numbers);
     }
     mail.put(lines);
     teach_ = mail.put;
@@ -174,9 +174,9 @@
 
 void ModuleActor::inherit(Instant now, HeritageMail& mail) {
     for (const succession::Line& line : mail.learned) {
-        EndpointIx ix = names_.endpoints.find(line.endpoint);
-        if (!ix.known() || !places_.at(ix.value).destination.known()) continue;
-        if (sender_->recall(now, ix, line.numbers)) holdBack(ix);
+        EndpointIndex ix = names_.endpoints.find(line.endpoint);
+        if (!ix.isKnown() || !places_.at(ix.value).destination.isKnown()) continue;
+        if (sender_->importEndpointState(now, ix, line.numbers)) holdBack(ix);
     }
     if (mail.store) {
         heir_.gone(mail.number);
@@ -184,7 +184,7 @@
         resume(now, mail.number, *mail.store);
     }
     if (mail.last) heir_ = succession::Heir{{}};
-    sender_->mayStart(now, mail.mayStart && !teach_);
+    sender_->setCallsAllowed(now, mail.mayStart && !teach_);
 }
 
 // All generations together keep to the disk's bound; what others hold is not to be had.
@@ -238,8 +238,8 @@
 }
 
 // Nothing can be sent of a text whose body is gone: that is its end.
-void ModuleActor::lost(Instant now, TextIx text) {
-    sender_->withdrawn(now, text);
+void ModuleActor::lost(Instant now, TextIndex text) {
+    sender_->onWithdrawn(now, text);
     ways_.report->add(Count::undeliverable);
     answered(now, text, Store::Final::undeliverable, Span());
 }
@@ -254,8 +254,8 @@
         // Another request with the same id is no leave to withdraw a text that somebody was told is taken on.
         if (found == texts_.end() || rows_.at(found->second.value).ticket != w->ticket) return;
         ways_.report->add(Count::textsWithdrawn);
-        TextIx text = found->second;
-        sender_->withdrawn(now, text);
+        TextIndex text = found->second;
+        sender_->onWithdrawn(now, text);
         record(now, rows_.at(text.value), "withdrawn");
         keep(holding(w->id).over(w->id));
         rows_[text.value].over = true;
@@ -273,7 +273,7 @@
     } else if (std::holds_alternative<SafeMail>(mail)) {
         return;  // each round looks
     } else if (auto* leaving = std::get_if<LeavingMail>(&mail)) {
-        sender_->leaving(leaving->by);
+        sender_->onShutdown(leaving->by);
         left_ = std::move(leaving->done);
     }
 }
@@ -289,9 +289,9 @@
         return mail.reply->postHeld({over ? Reception::What::nacked : Reception::What::taken, Span()});
     }
     // What names nothing that there is can never be delivered, and made-up names must not pile up.
-    ProductIx product = names_.products.find(mail.text.product);
-    DestinationIx destination = names_.destinations.find(mail.text.destination);
-    if (!product.known() || !destination.known() || mail.text.validity > longestValidity_) {
+    ProductIndex product = names_.products.find(mail.text.product);
+    DestinationIndex destination = names_.destinations.find(mail.text.destination);
+    if (!product.isKnown() || !destination.isKnown() || mail.text.validity > longestValidity_) {
         ways_.report->add(Count::textsUnusable);
         return mail.reply->postHeld({Reception::What::unusable, Span()});
     }
@@ -301,7 +301,7 @@
         ways_.report->add(Count::storeRefused);
         return mail.reply->postHeld({Reception::What::nacked, busy_});
     }
-    TextIx index = freshText();
+    TextIndex index = freshText();
     texts_[mail.text.id] = index;
     Row& row = rows_[index.value];
     row.id = mail.text.id, row.parcel = {mail.text.id, mail.text.mark, mail.body};
@@ -341,29 +341,29 @@
         if (found == rows_.end()) continue;
         Row& row = found->second;
         Outcome outcome = outcomeOf(call.ending, answered ? call.answer.verdicts[i] : Verdict::error);
-        SubmitEnd e{call.texts[i], call.endpoint, outcome.end, outcome.over, Span(), {}, {}, false};
-        if (answered) e.wait = call.answer.wait, e.reportedLimit = call.answer.limit;
-        if (answered) e.reportedLeft = call.answer.left;
-        e.fresh = call.fresh;
+        SubmitResult e{call.texts[i], call.endpoint, outcome.end, outcome.over, Span(), {}, {}, false};
+        if (answered) e.retryAfter = call.answer.wait, e.reportedLimit = call.answer.limit;
+        if (answered) e.reportedRemaining = call.answer.left;
+        e.newConnection = call.fresh;
         row.out = false, row.carrier = nullptr;
-        ways_.report->add(outcome.end == End::delivered ? Count::delivered
+        ways_.report->add(outcome.end == SubmitStatus::delivered ? Count::delivered
                           : outcome.over                ? Count::overElsewhere
-                          : outcome.end == End::full    ? Count::turnedAway
-                          : outcome.end == End::notSent ? Count::notSent
+                          : outcome.end == SubmitStatus::overloaded    ? Count::turnedAway
+                          : outcome.end == SubmitStatus::notSent ? Count::notSent
                                                         : Count::errors);
         if (outcome.over) {
             if (!row.over) record(now, row, "delivered"), keep(holding(row.id).over(row.id));
             row.over = true;
         } else if (!row.over) {
-            bool mayHaveRun = outcome.end == End::error || outcome.end == End::reset ||
-                              outcome.end == End::timeout || outcome.end == End::cancelled;
+            bool mayHaveRun = outcome.end == SubmitStatus::error || outcome.end == SubmitStatus::reset ||
+                              outcome.end == SubmitStatus::timeout || outcome.end == SubmitStatus::cancelled;
             keep(holding(row.id).ended(row.id, mayHaveRun));
         }
         bool tells = ways_.report->says(Level::debug);
-        std::string before = tells ? sender_->belief(now, call.endpoint) : std::string();
-        sender_->ended(now, e);
-        if (teach_ && e.end != End::delivered) {
-            teach_(succession::learnedLine(names_.endpoints.name(call.endpoint), sender_->learned(now, call.endpoint)));
+        std::string before = tells ? sender_->describeEndpoint(now, call.endpoint) : std::string();
+        sender_->onSubmitResult(now, e);
+        if (teach_ && e.status != SubmitStatus::delivered) {
+            teach_(succession::learnedLine(names_.endpoints.name(call.endpoint), sender_->exportEndpointState(now, call.endpoint)));
         }
         if (tells) tell(now, row, e, call, before);
         if (row.over) drop(call.texts[i]);
@@ -372,7 +372,7 @@
 }
 
 // For those who count over a whole fleet of senders (scripts/fleet-count).
-void ModuleActor::tell(Instant now, const Row& row, const SubmitEnd& e, const CallEnd& call,
+void ModuleActor::tell(Instant now, const Row& row, const SubmitResult& e, const CallEnd& call,
                        const std::string& before) {
     auto ms = [](Span s) { return std::to_string(s.inMicros() / 1000); };
     auto share = [](std::optional<double> x) { return x ? std::to_string(*x) : std::string("-"); };
@@ -382,20 +382,20 @@
                           " of " + names_.destinations.name(row.destination) + " with " +
                           std::to_string(call.texts.size()) + " ending " +
                           std::to_string(static_cast<int>(call.ending)) + " outcome " +
-                          std::to_string(static_cast<int>(e.end)) + " took " + ms(now - row.sentAt) +
+                          std::to_string(static_cast<int>(e.status)) + " took " + ms(now - row.sentAt) +
                           " age " + ms(now - row.cameAt) + " fresh " + std::to_string(call.fresh) + " wait " +
-                          ms(e.wait) + " limit " + share(e.reportedLimit) + " left " + share(e.reportedLeft) +
-                          " believed " + before + " now " + sender_->belief(now, call.endpoint));
+                          ms(e.retryAfter) + " limit " + share(e.reportedLimit) + " left " + share(e.reportedRemaining) +
+                          " believed " + before + " now " + sender_->describeEndpoint(now, call.endpoint));
 }
 
-TextIx ModuleActor::freshText() {
-    if (freeTexts_.size() < kTextsApart) return TextIx(nextText_++);
+TextIndex ModuleActor::freshText() {
+    if (freeTexts_.size() < kTextsApart) return TextIndex(nextText_++);
     uint32_t ix = freeTexts_.front();
     freeTexts_.pop_front();
-    return TextIx(ix);
+    return TextIndex(ix);
 }
 
-void ModuleActor::leftAlone(Instant now, DestinationIx d) {
+void ModuleActor::leftAlone(Instant now, DestinationIndex d) {
     if (users_[d.value].places + users_[d.value].texts == 0) alone_.emplace_back(now, d);
 }
 
@@ -413,10 +413,10 @@
     bool many = retired_ >= kMany && now - retiredAt_ > Span::seconds(2);
     if (many) retired_ = 0, ways_.tidy();
     for (; !alone_.empty() && now - alone_.front().first >= kForgetAfter; alone_.pop_front()) {
-        DestinationIx d = alone_.front().second;
+        DestinationIndex d = alone_.front().second;
         if (names_.destinations.name(d).empty() || users_[d.value].places + users_[d.value].texts > 0)
             continue;
-        sender_->forgotten(now, d);
+        sender_->onDestinationRemoved(now, d);
         names_.destinations.release(d);
         ways_.report->add(Count::destinationsFreed);
     }
@@ -424,10 +424,10 @@
 
 // An endpoint's name, index and threads go with it once no call names it, so that what is held follows what
 // is live however long endpoints come and go; its successor inherits nothing, even at the same address.
-void ModuleActor::freeIfGone(EndpointIx endpoint) {
+void ModuleActor::freeIfGone(EndpointIndex endpoint) {
     Place& place = places_.at(endpoint.value);
     if (!place.gone || place.out > 0) return;
-    DestinationIx destination = place.destination;
+    DestinationIndex destination = place.destination;
     place = Place();
     --users_[destination.value].places;
     leftAlone(steadyNow(), destination);
@@ -439,54 +439,54 @@
     std::vector<ListEntry> entries;
     std::set<uint32_t> named;
     for (const Member& m : mail.list.members) {
-        if (m.state == Listed::gone && !names_.endpoints.find(m.id).known()) continue;
-        EndpointIx ix = names_.endpoints.admit(m.id);
+        if (m.state == ListState::removed && !names_.endpoints.find(m.id).isKnown()) continue;
+        EndpointIndex ix = names_.endpoints.intern(m.id);
         if (ix.value >= places_.size()) places_.resize(ix.value + 1);
         Place& place = places_[ix.value];
         if (uint64_t address = packed(m.address); !m.address.empty() && place.address != address) {
             if (place.actor) place.actor->retire();
             place.actor = nullptr, place.address = address;
         }
-        place.zone = names_.zones.admit(m.zone), place.kind = names_.kinds.admit(m.kind);
-        DestinationIx destination = names_.destinations.admit(m.destination), before = place.destination;
+        place.zone = names_.zones.intern(m.zone), place.kind = names_.kinds.intern(m.kind);
+        DestinationIndex destination = names_.destinations.intern(m.destination), before = place.destination;
         if (destination.value >= users_.size()) users_.resize(destination.value + 1);
         if (before != destination) {
             ++users_[destination.value].places;
-            if (before.known()) --users_[before.value].places, leftAlone(now, before);
+            if (before.isKnown()) --users_[before.value].places, leftAlone(now, before);
         }
         place.destination = destination;
-        if (m.state == Listed::leaving && place.actor) place.actor->holdBack(), place.actor->closeIdle();
+        if (m.state == ListState::draining && place.actor) place.actor->holdBack(), place.actor->closeIdle();
         named.insert(ix.value);
-        place.gone = m.state == Listed::gone;
-        if (m.state == Listed::gone && place.actor) place.actor->retire(), place.actor = nullptr;
+        place.gone = m.state == ListState::removed;
+        if (m.state == ListState::removed && place.actor) place.actor->retire(), place.actor = nullptr;
         entries.push_back({ix, place.destination, place.zone, place.kind, m.state, m.rate});
     }
     for (uint32_t i = 0; mail.list.whole && i < places_.size(); ++i) {
-        if (named.count(i) > 0 || !places_[i].destination.known()) continue;
+        if (named.count(i) > 0 || !places_[i].destination.isKnown()) continue;
         if (places_[i].actor) places_[i].actor->retire(), places_[i].actor = nullptr;
         places_[i].gone = !mail.old;
     }
-    ListScope scope = mail.old ? ListScope::old : mail.list.whole ? ListScope::whole : ListScope::changes;
-    sender_->listed(now, scope, entries);
+    ListScope scope = mail.old ? ListScope::cached : mail.list.whole ? ListScope::complete : ListScope::changes;
+    sender_->onEndpointList(now, scope, entries);
     // A ban outlasts lists: it binds also one that was gone and is back, before anything is decided on it.
     for (const Member& m : mail.list.members) {
-        if (m.state != Listed::gone && bans_.count(m.id) > 0) sender_->banned(now, names_.endpoints.find(m.id), true);
+        if (m.state != ListState::removed && bans_.count(m.id) > 0) sender_->setEndpointDisabled(now, names_.endpoints.find(m.id), true);
     }
     for (const ListEntry& e : entries) freeIfGone(e.endpoint);
-    for (uint32_t i = 0; mail.list.whole && i < places_.size(); ++i) freeIfGone(EndpointIx(i));
+    for (uint32_t i = 0; mail.list.whole && i < places_.size(); ++i) freeIfGone(EndpointIndex(i));
     if (!ways_.listed) return;
     std::set<std::string> ids;
     for (uint32_t i = 0; i < places_.size(); ++i) {
-        if (places_[i].destination.known() && !places_[i].gone) ids.insert(names_.endpoints.name(EndpointIx(i)));
+        if (places_[i].destination.isKnown() && !places_[i].gone) ids.insert(names_.endpoints.name(EndpointIndex(i)));
     }
     ways_.listed(std::move(ids));
 }
 
 void ModuleActor::ordered(Instant now, const std::set<std::string>& out) {
     auto tell = [&](const std::string& id, bool ban) {
-        EndpointIx ix = names_.endpoints.find(id);
-        if (!ix.known() || !places_.at(ix.value).destination.known()) return;
-        sender_->banned(now, ix, ban);
+        EndpointIndex ix = names_.endpoints.find(id);
+        if (!ix.isKnown() || !places_.at(ix.value).destination.isKnown()) return;
+        sender_->setEndpointDisabled(now, ix, ban);
         auto& actor = places_.at(ix.value).actor;
         if (ban && actor) actor->holdBack(), actor->closeIdle();
     };
@@ -501,7 +501,7 @@
 
 void ModuleActor::pull(Instant now) {
     // Against decisions that come without end while the clock stands still: what they wait for comes as it goes on.
-    while (!pullAll(*sender_, now, kDecidedAtOnce, [&](const Decision& d) { decide(now, d); })) {
+    while (!pullDecisions(*sender_, now, kDecidedAtOnce, [&](const Decision& d) { decide(now, d); })) {
         ways_.report->add(Count::roundsLong);
         now = steadyNow();
     }
@@ -511,7 +511,7 @@
 
 // Texts that came in this round and were not answered in it are taken on, before any of them leaves.
 void ModuleActor::receive(Instant now) {
-    for (TextIx ix : fresh_) {
+    for (TextIndex ix : fresh_) {
         auto found = rows_.find(ix.value);
         if (found == rows_.end() || found->second.over) continue;
         Row& row = found->second;
@@ -534,14 +534,14 @@
                     auto at = rows_.find(ix.value);
                     if (at == rows_.end() || at->second.id != id || at->second.over) return;
                     at->second.over = true;
-                    sender_->withdrawn(steadyNow(), ix);
+                    sender_->onWithdrawn(steadyNow(), ix);
                     if (!at->second.out) drop(ix);
                 });
             continue;
         }
         reply->postHeld({Reception::What::nacked, busy_});
         row.over = true;
-        sender_->withdrawn(now, ix);
+        sender_->onWithdrawn(now, ix);
         if (!row.out) drop(ix);
     }
     fresh_.clear();
@@ -570,19 +570,19 @@
         if (found->second.carrier) found->second.carrier->cancel(cancel->text);
     } else if (const auto* wake = std::get_if<WakeAt>(&decision)) {
         timers_.insert(wake->at);
-    } else if (std::holds_alternative<WatchList>(decision)) {
+    } else if (std::holds_alternative<SubscribeToList>(decision)) {
         return;  // the list's actor asks by itself, from the start on
-    } else if (const auto* close = std::get_if<CloseIdle>(&decision)) {
+    } else if (const auto* close = std::get_if<CloseIdleConnections>(&decision)) {
         if (close->endpoint.value < places_.size() && places_[close->endpoint.value].actor) {
             places_[close->endpoint.value].actor->closeIdle();
         }
     } else {
-        ways_.report->say(Level::info, std::get<Note>(decision).words);
+        ways_.report->say(Level::info, std::get<LogMessage>(decision).message);
     }
 }
 
 // The client hears it in its own answer while it still waits for that, else by a notice.
-void ModuleActor::answered(Instant now, TextIx text, Store::Final final, Span pause) {
+void ModuleActor::answered(Instant now, TextIndex text, Store::Final final, Span pause) {
     Row& row = rows_.at(text.value);
     row.over = true;
     if (ways_.report->says(Level::debug)) {
@@ -612,10 +612,10 @@
     std::vector<bool> gone(pulled.size());
     for (size_t i = 0; i < pulled.size(); ++i) {
         if (gone[i]) continue;
-        EndpointIx endpoint = pulled[i].first;
-        KindIx kind = endpoint.value < places_.size() ? places_[endpoint.value].kind : KindIx();
+        EndpointIndex endpoint = pulled[i].first;
+        KindIndex kind = endpoint.value < places_.size() ? places_[endpoint.value].kind : KindIndex();
         size_t most = kind.value < kinds_.size() ? std::max(kinds_[kind.value].batch, 1) : 1, bytes = 2;
-        std::vector<TextIx> together;
+        std::vector<TextIndex> together;
         for (size_t j = i; j < pulled.size() && together.size() < most; ++j) {
             if (gone[j] || pulled[j].first != endpoint) continue;
             bytes += bundledSize(rows_.at(pulled[j].second.value).parcel);
@@ -627,12 +627,12 @@
     }
 }
 
-void ModuleActor::send(EndpointIx endpoint, std::vector<TextIx> texts) {
+void ModuleActor::send(EndpointIndex endpoint, std::vector<TextIndex> texts) {
     Call call;
     Instant timeout = Instant::longAgo(), valid = Instant::never();
     int64_t at = unixMicros();
-    std::vector<TextIx> unsent;
-    for (TextIx ix : texts) {
+    std::vector<TextIndex> unsent;
+    for (TextIndex ix : texts) {
         Row& row = rows_.at(ix.value);
         row.at = endpoint;
         if (row.spoilt && !row.over) lost(steadyNow(), ix);
@@ -647,7 +647,7 @@
         // A call is given up as a whole: not before the last of its time-outs, nor after any text's time.
         timeout = std::max(timeout, row.until), valid = std::min(valid, row.validUntil);
     }
-    auto notSent = [&](std::vector<TextIx> which) {
+    auto notSent = [&](std::vector<TextIndex> which) {
         if (which.empty()) return;
         ++callsOut_, ++places_.at(endpoint.value).out;
         ways_.inbox->postHeld(CallEnd{endpoint, std::move(which), Ending::noMeans, {}, false});
@@ -657,7 +657,7 @@
     call.until = std::min(timeout, valid);
     auto actor = actorOf(endpoint);
     auto went = call.texts;
-    for (TextIx ix : went) rows_.at(ix.value).carrier = actor;
+    for (TextIndex ix : went) rows_.at(ix.value).carrier = actor;
     if (!actor) return notSent(std::move(went));
     ++callsOut_, ++places_.at(endpoint.value).out;
     auto never = [inbox = ways_.inbox, endpoint, went] {
@@ -672,7 +672,7 @@
 
 // Told to wait: what was submitted before and has not left must not leave now. A wait holds for a
 // destination, or for one route where routes are separate.
-void ModuleActor::holdBack(EndpointIx endpoint) {
+void ModuleActor::holdBack(EndpointIndex endpoint) {
     const Place& told = places_.at(endpoint.value);
     bool route = told.kind.value < kinds_.size() && kinds_[told.kind.value].separateRoutes;
     for (size_t i = 0; i < places_.size(); ++i) {
@@ -681,7 +681,7 @@
     }
 }
 
-std::shared_ptr<EndpointActor> ModuleActor::actorOf(EndpointIx endpoint) {
+std::shared_ptr<EndpointActor> ModuleActor::actorOf(EndpointIndex endpoint) {
     if (endpoint.value >= places_.size()) return nullptr;
     Place& place = places_[endpoint.value];
     if (!place.actor)
@@ -696,12 +696,12 @@
 }
 
 // A text is kept known until its last submit has ended, because ends name it until then.
-void ModuleActor::drop(TextIx text) {
+void ModuleActor::drop(TextIndex text) {
     auto row = rows_.find(text.value);
     if (row == rows_.end()) return;
     texts_.erase(row->second.id);
     std::erase_if(behind_, [&](const Behind& b) { return b.arrival.text == text; });
-    DestinationIx destination = row->second.destination;
+    DestinationIndex destination = row->second.destination;
     rows_.erase(row);
     freeTexts_.push_back(text.value);
     --users_[destination.value].texts;
--- a/src/routing/module_actor.hpp
+++ b/src/routing/module_actor.hpp
@@ -119,13 +119,13 @@
         std::string id;
         Parcel parcel;
         Instant validUntil, until;  // until: of the submit that is out
-        EndpointIx at;
+        EndpointIndex at;
         int submits = 0;
         bool out = false, over = false, spoilt = false;  // spoilt: its body can't be read any more
         uint64_t ticket = 0;                     // of the one request that may withdraw it; 0: none may
         std::shared_ptr<ReceptionBox> reply;     // until the client has been told
         std::shared_ptr<EndpointActor> carrier;  // of that submit
-        DestinationIx destination;
+        DestinationIndex destination;
         std::string product, key;
         Instant cameAt, sentAt;
     };
@@ -142,28 +142,28 @@
     void take(Instant now, ModuleMail& mail);
     void arrived(Instant now, ArrivedMail& mail);
     void ended(Instant now, CallEnd& end);
-    void tell(Instant now, const Row& row, const SubmitEnd& e, const CallEnd& call,
+    void tell(Instant now, const Row& row, const SubmitResult& e, const CallEnd& call,
               const std::string& before);
     void listed(Instant now, const ListMail& mail);
     void ordered(Instant now, const std::set<std::string>& out);
     void pull(Instant now);
     void receive(Instant now);
     void decide(Instant now, const Decision& decision);
-    void answered(Instant now, TextIx text, Store::Final final, Span pause);
+    void answered(Instant now, TextIndex text, Store::Final final, Span pause);
     void dispatch();
-    void send(EndpointIx endpoint, std::vector<TextIx> texts);
-    std::shared_ptr<EndpointActor> actorOf(EndpointIx endpoint);
-    void holdBack(EndpointIx endpoint);
+    void send(EndpointIndex endpoint, std::vector<TextIndex> texts);
+    std::shared_ptr<EndpointActor> actorOf(EndpointIndex endpoint);
+    void holdBack(EndpointIndex endpoint);
     void round(std::deque<ModuleMail>& mail);
-    void drop(TextIx text);
+    void drop(TextIndex text);
     void keep(bool written);
 
     // Most places lie silent, so each is small: its threads and the names' strings are elsewhere.
     struct Place {
         uint64_t address = 0;  // packed; 0 where there is none
-        ZoneIx zone;
-        KindIx kind;
-        DestinationIx destination;
+        ZoneIndex zone;
+        KindIndex kind;
+        DestinationIndex destination;
         int32_t out = 0;  // calls
         bool gone = false;
         std::shared_ptr<EndpointActor> actor;
@@ -172,18 +172,18 @@
     struct Users {  // of a destination's name
         uint32_t places = 0, texts = 0;
     };
-    void freeIfGone(EndpointIx endpoint);
-    void leftAlone(Instant now, DestinationIx destination);
+    void freeIfGone(EndpointIndex endpoint);
+    void leftAlone(Instant now, DestinationIndex destination);
     void rest(Instant now);
-    TextIx freshText();
+    TextIndex freshText();
     void whenSafe(std::function<void()> go, std::function<void()> never = nullptr);
     void release();
     uint64_t safe() const;
     bool mayServe() const { return store_->works() && !(ways_.standby && ways_.standby->fenced()); }
-    void lost(Instant now, TextIx text);
+    void lost(Instant now, TextIndex text);
 
     Names names_;
-    std::vector<Kind> kinds_;
+    std::vector<EndpointKind> kinds_;
     Span busy_, longestValidity_;
     std::unique_ptr<Sender> sender_;
     std::unique_ptr<Store> store_;
@@ -199,19 +199,19 @@
     bool shares_ = false;  // the own store's room was less than all
     std::function<void(const std::string&)> teach_;  // once it has handed over
     Ways ways_;
-    std::unordered_map<std::string, TextIx> texts_;
+    std::unordered_map<std::string, TextIndex> texts_;
     std::unordered_map<uint32_t, Row> rows_;
     std::vector<Place> places_;
     std::set<std::string> bans_;  // ids that an operator has taken out, listed or not
     std::vector<Users> users_;  // by destination
     // In the order of time: endpoints called last then, and destinations of which nothing was left then.
-    std::deque<std::pair<Instant, EndpointIx>> used_;
-    std::deque<std::pair<Instant, DestinationIx>> alone_;
+    std::deque<std::pair<Instant, EndpointIndex>> used_;
+    std::deque<std::pair<Instant, DestinationIndex>> alone_;
     size_t retired_ = 0;  // since the last tidying up
     Instant retiredAt_;
     std::deque<uint32_t> freeTexts_;  // used again in turn, so that what still names one has long been read
-    std::vector<TextIx> fresh_;       // taken in during this round
-    std::vector<std::pair<EndpointIx, TextIx>> submits_;  // of this round, in the order pulled
+    std::vector<TextIndex> fresh_;       // taken in during this round
+    std::vector<std::pair<EndpointIndex, TextIndex>> submits_;  // of this round, in the order pulled
     std::set<Instant> timers_;
     std::function<void()> left_;
     uint32_t nextText_ = 0;
--- a/src/routing/outcome.hpp
+++ b/src/routing/outcome.hpp
@@ -7,7 +7,7 @@
 namespace petrelpond {
 
 struct Outcome {
-    End end = End::error;
+    SubmitStatus end = SubmitStatus::error;
     bool over = false;
 };
 
@@ -17,39 +17,39 @@
 inline Outcome outcomeOf(Ending ending, Verdict verdict) {
     switch (ending) {
         case Ending::halfAnswered:
-            return verdict == Verdict::delivered ? Outcome{End::delivered, true} : Outcome{End::error};
+            return verdict == Verdict::delivered ? Outcome{SubmitStatus::delivered, true} : Outcome{SubmitStatus::error};
         case Ending::answered:
             switch (verdict) {
                 case Verdict::delivered:
-                    return {End::delivered, true};
+                    return {SubmitStatus::delivered, true};
                 case Verdict::error:
-                    return {End::error};
+                    return {SubmitStatus::error};
                 case Verdict::turnedAway:
-                    return {End::full};
+                    return {SubmitStatus::overloaded};
                 case Verdict::notSent:
-                    return {End::notSent};
+                    return {SubmitStatus::notSent};
                 case Verdict::over:
-                    return {End::notSent, true};
+                    return {SubmitStatus::notSent, true};
             }
-            return {End::error};
+            return {SubmitStatus::error};
         case Ending::noMeans:
         case Ending::cancelledUnsent:
-            return {End::notSent};
+            return {SubmitStatus::notSent};
         case Ending::refused:
         case Ending::neverUp:
         case Ending::brokeBeforeSent:
         case Ending::timedOutUnsent:
-            return {End::unreachable};
+            return {SubmitStatus::unreachable};
         case Ending::brokeAfterSent:
-            return {End::reset};
+            return {SubmitStatus::reset};
         case Ending::oddAnswer:  // something answered, so that no connection died unseen
-            return {End::error};
+            return {SubmitStatus::error};
         case Ending::timedOut:
-            return {End::timeout};
+            return {SubmitStatus::timeout};
         case Ending::cancelled:
-            return {End::cancelled};
+            return {SubmitStatus::cancelled};
     }
-    return {End::error};
+    return {SubmitStatus::error};
 }
 
 }  // namespace petrelpond
--- a/tests/fleet/judge_test.cpp
+++ b/tests/fleet/judge_test.cpp
@@ -166,15 +166,15 @@
 TEST_CASE("rule 3: a call begun too long after the drain was told") {
     Bench b;
     auto r = b.text(0, 0), s = b.text(0, 0);
-    b.judge.told(ms(100), 0, 1, 0, Listed::leaving);
-    b.judge.told(ms(180), 0, 1, 0, Listed::leaving);  // told again: the first time counts
+    b.judge.told(ms(100), 0, 1, 0, ListState::draining);
+    b.judge.told(ms(180), 0, 1, 0, ListState::draining);  // told again: the first time counts
     b.deliver(260, b.call(240, r, 1));
     CHECK(b.all() == 0);
     b.deliver(280, b.call(260, s, 1));
     CHECK(b.broken(Rule::drain) == 1);
     auto t = b.text(300, 0), u = b.text(300, 0);
     b.judge.called(ms(310), ms(310), 0, 1, 1, {t});  // a new one at its address
-    b.judge.told(ms(320), 0, 1, 0, Listed::active);
+    b.judge.told(ms(320), 0, 1, 0, ListState::active);
     b.call(900, u, 1);
     CHECK(b.broken(Rule::drain) == 1);
 }
--- a/tests/fleet/scenario_test.cpp
+++ b/tests/fleet/scenario_test.cpp
@@ -42,7 +42,7 @@
 TEST_CASE("a scenario that is right is read as it stands") {
     Scenario s = readScenario(kGood, "f.toml");
     CHECK(s.destinations() == 3);
-    CHECK(s.products[0].rules.effect == Effect::resendable);
+    CHECK(s.products[0].rules.effect == Effect::idempotent);
     CHECK(s.flows[0].until == Span::seconds(5));
     CHECK_NOTHROW(readScenario(demoScenario(), "demo"));
 }
--- a/tests/helpers.hpp
+++ b/tests/helpers.hpp
@@ -32,15 +32,15 @@
 
 struct Set {  // the settings of a test, by part
     std::vector<Product> products = {
-        {Span::seconds(3), Span::seconds(20), Effect::resendable, Span(), false, 1, 0.3},
-        {Span::seconds(3), Span::seconds(20), Effect::referenced, Span::seconds(8), false, 1, 0.3},
-        {Span::seconds(3), Span::seconds(20), Effect::onceOnly, Span(), false, 2, 0.3}};
-    std::vector<Kind> kinds = {{1, false}, {1, true}, {5, false}};
-    Crew crew{2, ZoneIx(0u)};
-    Room room{8, 100, 8, true, Span::millis(5), Span::seconds(2)};
-    ColdRule cold{0.2, Span::seconds(10), 2, Span::seconds(3)};
-    ListRule list;
-    Links links{Span::seconds(5), Span::millis(500)};
+        {Span::seconds(3), Span::seconds(20), Effect::idempotent, Span(), false, 1, 0.3},
+        {Span::seconds(3), Span::seconds(20), Effect::idempotencyKey, Span::seconds(8), false, 1, 0.3},
+        {Span::seconds(3), Span::seconds(20), Effect::nonIdempotent, Span(), false, 2, 0.3}};
+    std::vector<EndpointKind> kinds = {{1, false}, {1, true}, {5, false}};
+    SenderGroup crew{2, ZoneIndex(0u)};
+    SenderLimits room{8, 100, 8, true, Span::millis(5), Span::seconds(2)};
+    ColdStartRule cold{0.2, Span::seconds(10), 2, Span::seconds(3)};
+    EndpointListRule list;
+    ConnectionRule links{Span::seconds(5), Span::millis(500)};
 };
 
 // What the rules allow, said slowly and plainly from the record of one sender; shares no code with it.
@@ -49,32 +49,32 @@
     explicit RulesModel(Set set) : set_(std::move(set)) {}
     struct Row {
         Arrival arrival;
-        std::vector<std::pair<Instant, EndpointIx>> mayHaveRun;
-        std::optional<EndpointIx> out;
+        std::vector<std::pair<Instant, EndpointIndex>> mayHaveRun;
+        std::optional<EndpointIndex> out;
         Instant startedAt;
         int answers = 0;
         bool over = false;
     };
-    std::map<TextIx, Row> rows;
-    std::map<EndpointIx, ListEntry> list;
-    std::map<EndpointIx, Instant> waits;  // of the endpoint, or of all of its destination
-    std::map<uint64_t, std::pair<Instant, TextIx>> rests;
+    std::map<TextIndex, Row> rows;
+    std::map<EndpointIndex, ListEntry> list;
+    std::map<EndpointIndex, Instant> waits;  // of the endpoint, or of all of its destination
+    std::map<uint64_t, std::pair<Instant, TextIndex>> rests;
 
     const Product& product(const Row& r) const { return set_.products[r.arrival.product.value]; }
     bool mayNack(const Row& r) const {
-        return !r.over && !r.out && (r.mayHaveRun.empty() || product(r).effect != Effect::onceOnly);
+        return !r.over && !r.out && (r.mayHaveRun.empty() || product(r).effect != Effect::nonIdempotent);
     }
-    bool maySubmit(Instant now, const Row& r, EndpointIx e) const {
+    bool maySubmit(Instant now, const Row& r, EndpointIndex e) const {
         if (r.over || r.out || now >= r.arrival.validUntil) return false;
         const ListEntry& entry = list.at(e);
-        if (entry.state != Listed::active || entry.destination != r.arrival.destination) return false;
+        if (entry.state != ListState::active || entry.destination != r.arrival.destination) return false;
         auto wait = waits.find(e);
         if (wait != waits.end() && now < wait->second) return false;
         const Product& p = product(r);
-        if (!r.mayHaveRun.empty() && p.effect == Effect::onceOnly) return false;
-        if (!r.mayHaveRun.empty() && p.effect == Effect::referenced) {
-            if (now > r.mayHaveRun.front().first + p.memory) return false;
-            if (p.memoryByZone && list.at(r.mayHaveRun.front().second).zone != entry.zone) return false;
+        if (!r.mayHaveRun.empty() && p.effect == Effect::nonIdempotent) return false;
+        if (!r.mayHaveRun.empty() && p.effect == Effect::idempotencyKey) {
+            if (now > r.mayHaveRun.front().first + p.dedupWindow) return false;
+            if (p.dedupPerZone && list.at(r.mayHaveRun.front().second).zone != entry.zone) return false;
         }
         if (!p.inOrder || !r.arrival.key) return true;
         for (const auto& [ix, earlier] : rows) {
@@ -87,24 +87,24 @@
         auto rest = rests.find(*r.arrival.key);
         return rest == rests.end() || now >= rest->second.first || rest->second.second == r.arrival.text;
     }
-    void ended(Instant now, const SubmitEnd& e) {
+    void ended(Instant now, const SubmitResult& e) {
         Row& r = rows.at(e.text);
         bool mayRun =
-            e.end == End::error || e.end == End::timeout || e.end == End::reset || e.end == End::cancelled;
+            e.status == SubmitStatus::error || e.status == SubmitStatus::timeout || e.status == SubmitStatus::reset || e.status == SubmitStatus::cancelled;
         if (mayRun) r.mayHaveRun.push_back({r.startedAt, *r.out});
-        if (mayRun && e.end != End::error && r.arrival.key) {
-            rests[*r.arrival.key] = {now + set_.links.orderRest, e.text};
+        if (mayRun && e.status != SubmitStatus::error && r.arrival.key) {
+            rests[*r.arrival.key] = {now + set_.links.keyHoldTime, e.text};
         }
-        if (e.wait > Span()) {
+        if (e.retryAfter > Span()) {
             const ListEntry& at = list.at(*r.out);
             for (const auto& [ix, entry] : list) {
                 bool shares =
                     !set_.kinds[at.kind.value].separateRoutes && entry.destination == at.destination;
-                if (ix == *r.out || shares) waits[ix] = std::max(waits[ix], now + e.wait);
+                if (ix == *r.out || shares) waits[ix] = std::max(waits[ix], now + e.retryAfter);
             }
         }
         r.out.reset();
-        if (e.over) r.over = true, ++r.answers;
+        if (e.isFinal) r.over = true, ++r.answers;
     }
     void decided(Instant now, const Decision& d) {
         if (const auto* s = std::get_if<Submit>(&d)) {
@@ -134,7 +134,7 @@
     std::unique_ptr<Sender> sender;
     std::vector<Submit> submits;  // of the last pull
     std::vector<Decision> others;
-    std::map<TextIx, int> count;
+    std::map<TextIndex, int> count;
     uint32_t nextText = 0;
 
     explicit Rig(Set s = {}, uint32_t seed = 7) : set(s), rules(s) {
@@ -145,36 +145,36 @@
     void endpoints(uint32_t destination, uint32_t first, uint32_t count, uint32_t kind = 0, double rate = 0) {
         std::vector<ListEntry> entries;
         for (uint32_t i = first; i < first + count; ++i) {
-            entries.push_back({EndpointIx(i), DestinationIx(destination), ZoneIx(i % 2), KindIx(kind),
-                               Listed::active, rate});
+            entries.push_back({EndpointIndex(i), DestinationIndex(destination), ZoneIndex(i % 2), KindIndex(kind),
+                               ListState::active, rate});
         }
         list(entries);
     }
     void list(const std::vector<ListEntry>& entries, ListScope scope = ListScope::changes) {
         for (const ListEntry& e : entries) {
             // The index of one that was gone is another's now, which has its own route.
-            bool another = rules.list.count(e.endpoint) > 0 && rules.list[e.endpoint].state == Listed::gone;
+            bool another = rules.list.count(e.endpoint) > 0 && rules.list[e.endpoint].state == ListState::removed;
             if (another && set.kinds[e.kind.value].separateRoutes) rules.waits.erase(e.endpoint);
             rules.list[e.endpoint] = e;
         }
-        sender->listed(now, scope, entries);
+        sender->onEndpointList(now, scope, entries);
     }
-    TextIx text(uint32_t destination, uint32_t product, std::optional<uint64_t> key = {}) {
-        Arrival a{TextIx(nextText++), DestinationIx(destination), ProductIx(product),
+    TextIndex text(uint32_t destination, uint32_t product, std::optional<uint64_t> key = {}) {
+        Arrival a{TextIndex(nextText++), DestinationIndex(destination), ProductIndex(product),
                   now + set.products[product].validity, key};
         rules.rows[a.text].arrival = a;
-        sender->arrived(now, a);
+        sender->onArrival(now, a);
         return a.text;
     }
-    void end(const Submit& s, End how, Span wait = Span()) {
-        SubmitEnd e{s.text, s.endpoint, how, how == End::delivered, wait, 0.0, {}, false};  // no limit is reported
+    void end(const Submit& s, SubmitStatus how, Span wait = Span()) {
+        SubmitResult e{s.text, s.endpoint, how, how == SubmitStatus::delivered, wait, 0.0, {}, false};  // no limit is reported
         rules.ended(now, e);
-        sender->ended(now, e);
+        sender->onSubmitResult(now, e);
     }
     size_t pull() {
         submits.clear();
         others.clear();
-        while (auto d = sender->next(now)) {
+        while (auto d = sender->nextDecision(now)) {
             rules.decided(now, *d);
             if (const auto* s = std::get_if<Submit>(&*d)) {
                 submits.push_back(*s);
@@ -192,7 +192,7 @@
     std::vector<Submit> run(Span span) {
         std::vector<Submit> all;
         for (Instant until = now + span; now < until;) {
-            now = now + set.room.tick;
+            now = now + set.room.roundInterval;
             pull();
             all.insert(all.end(), submits.begin(), submits.end());
         }
--- a/tests/logic_test.cpp
+++ b/tests/logic_test.cpp
@@ -5,8 +5,8 @@
 
 static Set unlimited() {
     Set set;
-    set.room.calls = 0;
-    set.list.ratesListed = true;
+    set.room.maxCalls = 0;
+    set.list.includesRates = true;
     return set;
 }
 
@@ -17,7 +17,7 @@
     REQUIRE(rig.pull() == 3);
     auto first = rig.submits;
     rig.now = rig.now + Span::millis(50);
-    for (const Submit& s : first) rig.end(s, End::full);
+    for (const Submit& s : first) rig.end(s, SubmitStatus::overloaded);
     REQUIRE(rig.pull() == 0);
     // Halved once for the three that left together: 2 a second and jitter, so about 4 in 3 s.
     for (int i = 0; i < 20; ++i) rig.text(0, 0);
@@ -33,7 +33,7 @@
     rig.endpoints(0, 0, 2);
     rig.text(0, 0);
     REQUIRE(rig.pull() == 1);
-    rig.end(rig.submits[0], End::full);
+    rig.end(rig.submits[0], SubmitStatus::overloaded);
     size_t delivered = 0, handed = 1;
     for (int clump = 0; clump < 3000; ++clump) {
         for (int i = 0; i < 3; ++i) rig.text(0, 0), ++handed;
@@ -45,7 +45,7 @@
             rig.now = rig.now + Span::micros(1);
         }
         rig.now = rig.now + Span::millis(50);
-        for (const Submit& s : out) rig.end(s, End::delivered), ++delivered;
+        for (const Submit& s : out) rig.end(s, SubmitStatus::delivered), ++delivered;
     }
     CHECK(delivered > handed / 2);
     // Long let go, it holds nothing back any more.
@@ -56,12 +56,12 @@
 TEST_CASE("a sender that decides without end at one instant is left, and goes on as the clock does") {
     struct Spinning final : Sender {
         Instant until;
-        void arrived(Instant, const Arrival&) override {}
-        void ended(Instant, const SubmitEnd&) override {}
-        void withdrawn(Instant, TextIx) override {}
-        void listed(Instant, ListScope, const std::vector<ListEntry>&) override {}
-        void listFailed(Instant) override {}
-        std::optional<Decision> next(Instant now) override {
+        void onArrival(Instant, const Arrival&) override {}
+        void onSubmitResult(Instant, const SubmitResult&) override {}
+        void onWithdrawn(Instant, TextIndex) override {}
+        void onEndpointList(Instant, ListScope, const std::vector<ListEntry>&) override {}
+        void onEndpointListFailed(Instant) override {}
+        std::optional<Decision> nextDecision(Instant now) override {
             if (now < until) return WakeAt{now};
             return std::nullopt;
         }
@@ -69,9 +69,9 @@
     sender.until = Instant::atMicros(5);
     size_t decided = 0;
     auto each = [&](const Decision&) { ++decided; };
-    CHECK_FALSE(pullAll(sender, Instant::atMicros(4), 1000, each));
+    CHECK_FALSE(pullDecisions(sender, Instant::atMicros(4), 1000, each));
     CHECK(decided == 1000);
-    CHECK(pullAll(sender, Instant::atMicros(5), 1000, each));
+    CHECK(pullDecisions(sender, Instant::atMicros(5), 1000, each));
     CHECK(decided == 1000);
 }
 
@@ -81,19 +81,19 @@
     rig.endpoints(1, 4, 1);
     rig.text(0, 0);
     REQUIRE(rig.pull() == 1);
-    rig.end(rig.submits[0], End::full, Span::millis(900));
+    rig.end(rig.submits[0], SubmitStatus::overloaded, Span::millis(900));
     rig.text(0, 2);
     rig.text(1, 0);
     REQUIRE(rig.pull() == 1);
-    CHECK(rig.submits[0].endpoint == EndpointIx(4u));
+    CHECK(rig.submits[0].endpoint == EndpointIndex(4u));
     CHECK(rig.run(Span::millis(880)).empty());
     CHECK(rig.run(Span::seconds(2)).size() >= 1);
     Rig routes;  // on separate routes a wait holds that route alone
     routes.endpoints(0, 0, 2, 1);
     routes.text(0, 0);
     REQUIRE(routes.pull() == 1);
-    EndpointIx told = routes.submits[0].endpoint;
-    routes.end(routes.submits[0], End::full, Span::seconds(1));
+    EndpointIndex told = routes.submits[0].endpoint;
+    routes.end(routes.submits[0], SubmitStatus::overloaded, Span::seconds(1));
     REQUIRE(routes.pull() == 1);
     CHECK(routes.submits[0].endpoint != told);
 }
@@ -104,14 +104,14 @@
     rig.text(0, 2);
     REQUIRE(rig.pull() == 1);
     rig.now = rig.now + Span::millis(400);  // what a call takes there
-    rig.end(rig.submits[0], End::delivered);
-    rig.sender->leaving(rig.now + Span::seconds(2));
+    rig.end(rig.submits[0], SubmitStatus::delivered);
+    rig.sender->onShutdown(rig.now + Span::seconds(2));
     rig.text(0, 2);
     CHECK(rig.run(Span::millis(20)).size() == 1);
     rig.now = rig.now + Span::millis(400);
-    rig.end({TextIx(1u), EndpointIx(0u), Span()}, End::delivered);
+    rig.end({TextIndex(1u), EndpointIndex(0u), Span()}, SubmitStatus::delivered);
     rig.now = rig.now + Span::seconds(1);
-    TextIx late = rig.text(0, 2);
+    TextIndex late = rig.text(0, 2);
     CHECK(rig.run(Span::seconds(19)).empty());
     rig.run(Span::seconds(2));
     CHECK(rig.rules.rows[late].answers == 1);
@@ -122,7 +122,7 @@
     rig.endpoints(0, 0, 1);
     rig.text(0, 0);
     REQUIRE(rig.pull() == 1);
-    rig.end(rig.submits[0], End::delivered, Span::millis(900));
+    rig.end(rig.submits[0], SubmitStatus::delivered, Span::millis(900));
     rig.text(0, 0);
     CHECK(rig.run(Span::millis(890)).empty());
     CHECK(rig.run(Span::seconds(2)).size() == 1);
@@ -133,39 +133,39 @@
     rig.endpoints(0, 0, 1);
     auto resume = [&](uint32_t product, int submits, std::optional<Instant> mayHaveRun) {
         Arrival a{
-            TextIx(rig.nextText++), DestinationIx(0u), ProductIx(product), rig.now + Span::seconds(9), {}};
-        a.submits = submits, a.mayHaveRunSince = mayHaveRun, a.ranIn = ZoneIx(0u);
+            TextIndex(rig.nextText++), DestinationIndex(0u), ProductIndex(product), rig.now + Span::seconds(9), {}};
+        a.submits = submits, a.mayHaveRunSince = mayHaveRun, a.ranInZone = ZoneIndex(0u);
         rig.rules.rows[a.text].arrival = a;
-        if (mayHaveRun) rig.rules.rows[a.text].mayHaveRun.push_back({*mayHaveRun, EndpointIx(0u)});
-        rig.sender->arrived(rig.now, a);
+        if (mayHaveRun) rig.rules.rows[a.text].mayHaveRun.push_back({*mayHaveRun, EndpointIndex(0u)});
+        rig.sender->onArrival(rig.now, a);
         return a.text;
     };
     Instant before = rig.now - Span::seconds(2);
-    TextIx ran = resume(2, 1, before), used = resume(0, 8, {}), fresh = resume(2, 1, {}),
+    TextIndex ran = resume(2, 1, before), used = resume(0, 8, {}), fresh = resume(2, 1, {}),
            again = resume(0, 2, before);
-    TextIx known = resume(1, 1, before), forgotten = resume(1, 1, rig.now - Span::seconds(8));
+    TextIndex known = resume(1, 1, before), forgotten = resume(1, 1, rig.now - Span::seconds(8));
     auto sent = rig.run(Span::millis(50));
-    std::vector<TextIx> went;
+    std::vector<TextIndex> went;
     for (const Submit& s : sent) went.push_back(s.text);
     std::sort(went.begin(), went.end());
-    CHECK(went == std::vector<TextIx>{fresh, again, known});
-    for (TextIx t : {ran, used, forgotten}) CHECK(rig.rules.rows[t].answers == 1);
+    CHECK(went == std::vector<TextIndex>{fresh, again, known});
+    for (TextIndex t : {ran, used, forgotten}) CHECK(rig.rules.rows[t].answers == 1);
     // A key rests for what may still run, and goes on in order.
     Set ordered;
     for (Product& p : ordered.products) p.inOrder = true;
     Rig line(ordered);
     line.endpoints(0, 0, 1);
-    Arrival a{TextIx(line.nextText++), DestinationIx(0u), ProductIx(2u), line.now + Span::seconds(9), 5};
+    Arrival a{TextIndex(line.nextText++), DestinationIndex(0u), ProductIndex(2u), line.now + Span::seconds(9), 5};
     a.submits = 1, a.mayHaveRunSince = line.now - Span::seconds(1);
     line.rules.rows[a.text].arrival = a;
-    line.sender->arrived(line.now, a);
+    line.sender->onArrival(line.now, a);
     line.text(0, 0, 5);
     CHECK(line.run(Span::millis(490)).empty());
     CHECK(line.run(Span::seconds(1)).size() == 1);
 }
 
 TEST_CASE("once-only is not sent again once it may have run; referenced only inside the memory") {
-    End how = GENERATE(End::error, End::timeout, End::reset, End::cancelled);
+    SubmitStatus how = GENERATE(SubmitStatus::error, SubmitStatus::timeout, SubmitStatus::reset, SubmitStatus::cancelled);
     Rig rig;
     rig.endpoints(0, 0, 1);
     rig.text(0, 2);
@@ -173,7 +173,7 @@
     rig.end(rig.submits[0], how);
     rig.pull();
     CHECK(rig.answers<Undeliverable>() == 1);
-    TextIx referenced = rig.text(0, 1);
+    TextIndex referenced = rig.text(0, 1);
     auto sent = rig.run(Span::seconds(3));
     REQUIRE(sent.size() == 1);
     rig.end(sent[0], how);
@@ -191,10 +191,10 @@
     rig.endpoints(0, 0, 1);
     rig.text(0, 2);
     REQUIRE(rig.pull() == 1);
-    rig.end(rig.submits[0], End::unreachable);
+    rig.end(rig.submits[0], SubmitStatus::unreachable);
     auto again = rig.run(Span::seconds(3));
     REQUIRE(again.size() == 1);
-    rig.end(again[0], End::full, Span::seconds(60));
+    rig.end(again[0], SubmitStatus::overloaded, Span::seconds(60));
     rig.run(Span::seconds(16.9));
     size_t nacks = 0;
     for (int i = 0; i < 40; ++i) rig.run(Span::millis(5)), nacks += rig.answers<Nack>();
@@ -204,14 +204,14 @@
 TEST_CASE("nothing new goes to a draining endpoint, and a text with none usable is answered in time") {
     Rig rig;
     rig.endpoints(0, 0, 1);
-    ListEntry leaving = rig.rules.list[EndpointIx(0u)];
-    leaving.state = Listed::leaving;
+    ListEntry leaving = rig.rules.list[EndpointIndex(0u)];
+    leaving.state = ListState::draining;
     rig.list({leaving});
     rig.text(0, 0);
-    TextIx nowhere = rig.text(9, 0);
+    TextIndex nowhere = rig.text(9, 0);
     CHECK(rig.run(Span::seconds(21)).empty());
     CHECK(rig.rules.rows[nowhere].answers == 1);
-    CHECK(rig.rules.rows[TextIx(0u)].answers == 1);
+    CHECK(rig.rules.rows[TextIndex(0u)].answers == 1);
 }
 
 TEST_CASE("a destination that refuses connections gets single trials, then a budget that warms up") {
@@ -219,26 +219,26 @@
     rig.endpoints(0, 0, 1, 0, 20);
     for (int i = 0; i < 80; ++i) rig.text(0, 0);
     rig.pull();
-    for (const Submit& s : std::vector<Submit>(rig.submits)) rig.end(s, End::unreachable);
+    for (const Submit& s : std::vector<Submit>(rig.submits)) rig.end(s, SubmitStatus::unreachable);
     size_t most = 0, trials = 0;
     for (int i = 0; i < 1000; ++i) {
         rig.run(Span::millis(5));
         most = std::max(most, rig.submits.size());
         trials += rig.submits.size();
-        for (const Submit& s : std::vector<Submit>(rig.submits)) rig.end(s, End::unreachable);
+        for (const Submit& s : std::vector<Submit>(rig.submits)) rig.end(s, SubmitStatus::unreachable);
     }
     CHECK(most == 1);
     CHECK(trials >= 2);
     CHECK(trials <= 10);
     std::vector<Submit> trial;
     while (trial.empty()) trial = rig.run(Span::millis(5));
-    rig.end(trial[0], End::delivered);
+    rig.end(trial[0], SubmitStatus::delivered);
     // 2 senders, capacity 20 or more: all of them may send 2 x 0.2 x 20 = 8 a second at first, this one 4.
     size_t early = 0;
     for (int i = 0; i < 200; ++i) {
         rig.run(Span::millis(5));
         early += rig.submits.size();
-        for (const Submit& s : std::vector<Submit>(rig.submits)) rig.end(s, End::delivered);
+        for (const Submit& s : std::vector<Submit>(rig.submits)) rig.end(s, SubmitStatus::delivered);
     }
     CHECK(early <= 5);
 }
@@ -261,7 +261,7 @@
     CHECK(rig.submits[0].endpoint == rig.submits[4].endpoint);
     std::vector<Submit> call = rig.submits;
     CHECK(rig.run(Span::millis(100)).empty());  // what is left gathers until the call is back
-    for (const Submit& s : call) rig.end(s, End::delivered);
+    for (const Submit& s : call) rig.end(s, SubmitStatus::delivered);
     CHECK(rig.pull() == 2);
 }
 
@@ -270,15 +270,15 @@
     set.products[0].inOrder = true;
     Rig rig(set);
     rig.endpoints(0, 0, 2);
-    TextIx first = rig.text(0, 0, 5), second = rig.text(0, 0, 5);
+    TextIndex first = rig.text(0, 0, 5), second = rig.text(0, 0, 5);
     REQUIRE(rig.pull() == 1);
     CHECK(rig.submits[0].text == first);
     Submit sent = rig.submits[0];
     CHECK(rig.run(Span::millis(50)).empty());
-    rig.sender->withdrawn(rig.now, first);
+    rig.sender->onWithdrawn(rig.now, first);
     rig.rules.rows[first].over = true;
     CHECK(rig.run(Span::millis(50)).empty());
-    rig.end(sent, End::timeout);
+    rig.end(sent, SubmitStatus::timeout);
     CHECK(rig.run(Span::millis(450)).empty());
     auto next = rig.run(Span::seconds(3));
     REQUIRE(!next.empty());
@@ -288,14 +288,14 @@
 TEST_CASE("late outcomes, unknown products and stale timers do no harm") {
     Rig rig;
     rig.endpoints(0, 0, 1);
-    rig.sender->ended(rig.now,
-                      SubmitEnd{TextIx(99u), EndpointIx(0u), End::delivered, true, {}, {}, {}, false});
-    rig.sender->withdrawn(rig.now, TextIx(99u));
-    rig.sender->woke(rig.now);
-    Arrival odd{TextIx(rig.nextText++), DestinationIx(0u), ProductIx(), rig.now + Span::seconds(5), {}};
+    rig.sender->onSubmitResult(rig.now,
+                      SubmitResult{TextIndex(99u), EndpointIndex(0u), SubmitStatus::delivered, true, {}, {}, {}, false});
+    rig.sender->onWithdrawn(rig.now, TextIndex(99u));
+    rig.sender->onTimer(rig.now);
+    Arrival odd{TextIndex(rig.nextText++), DestinationIndex(0u), ProductIndex(), rig.now + Span::seconds(5), {}};
     rig.rules.rows[odd.text].arrival = odd;
-    rig.rules.rows[odd.text].arrival.product = ProductIx(0u);
-    rig.sender->arrived(rig.now, odd);
+    rig.rules.rows[odd.text].arrival.product = ProductIndex(0u);
+    rig.sender->onArrival(rig.now, odd);
     rig.pull();
     CHECK(rig.answers<Nack>() == 1);
 }
@@ -312,7 +312,7 @@
             rig.now = rig.now + Span::millis(20);
             for (const Submit& s : std::vector<Submit>(rig.submits)) {
                 seen.emplace_back(s.text.value, s.endpoint.value);
-                rig.end(s, i % 8 == 0 ? End::full : End::delivered);
+                rig.end(s, i % 8 == 0 ? SubmitStatus::overloaded : SubmitStatus::delivered);
             }
         }
         return seen;
@@ -337,20 +337,20 @@
         auto sent = rig.run(Span::millis(1500));
         REQUIRE(!sent.empty());  // no outage is suspected
         if (i > 0 && breaks + failed > 0) {
-            rig.end(sent.back(), breaks > 0 ? End::reset : End::unreachable);
+            rig.end(sent.back(), breaks > 0 ? SubmitStatus::reset : SubmitStatus::unreachable);
             breaks -= breaks > 0, failed -= failed > 0;
             sent = rig.run(Span::millis(1500));
             REQUIRE(!sent.empty());
         }
-        rig.end(sent.back(), End::delivered);
-        for (int j = 0; j < 600; ++j) rig.run(Span::millis(5)), closes += rig.answers<CloseIdle>();
+        rig.end(sent.back(), SubmitStatus::delivered);
+        for (int j = 0; j < 600; ++j) rig.run(Span::millis(5)), closes += rig.answers<CloseIdleConnections>();
     }
     CHECK((closes > 0) == expected);
 }
 
 TEST_CASE("before the store is full the text that will earn least makes room") {
     Set set = unlimited();
-    set.room.held = 40;
+    set.room.maxTexts = 40;
     Rig rig(set);
     for (int i = 0; i < 30; ++i) rig.text(0, 0);  // no endpoint: all must wait
     rig.run(Span::seconds(10));
@@ -358,19 +358,19 @@
     rig.pull();
     CHECK(rig.answers<Nack>() >= 2);
     for (const auto& [ix, row] : rig.rules.rows)
-        CHECK((row.answers == 0 || row.arrival.product == ProductIx(0u)));
+        CHECK((row.answers == 0 || row.arrival.product == ProductIndex(0u)));
 }
 
 TEST_CASE("with all slots out and a text that could go, the most overdue call is given up") {
     Set set;
-    set.room.calls = 2;
+    set.room.maxCalls = 2;
     Rig rig(set);
     for (uint32_t d = 0; d < 3; ++d) rig.endpoints(d, d, 1);
     for (uint32_t i = 0; i < 12; ++i) {  // every destination is known to answer in 100 ms
         rig.text(i % 3, 0);
         rig.pull();
         rig.now = rig.now + Span::millis(100);
-        for (const Submit& s : std::vector<Submit>(rig.submits)) rig.end(s, End::delivered);
+        for (const Submit& s : std::vector<Submit>(rig.submits)) rig.end(s, SubmitStatus::delivered);
     }
     rig.text(0, 2), rig.text(1, 2);
     REQUIRE(rig.pull() == 2);
@@ -388,7 +388,7 @@
     for (int i = 0; i < 6; ++i) rig.text(0, 0);
     for (int i = 0; i < 4000; ++i) {
         rig.run(Span::millis(5));
-        for (const Submit& s : std::vector<Submit>(rig.submits)) rig.end(s, End::unreachable);
+        for (const Submit& s : std::vector<Submit>(rig.submits)) rig.end(s, SubmitStatus::unreachable);
     }
     int most = 0, least = 99;
     for (auto& [ix, n] : rig.count) most = std::max(most, n), least = std::min(least, n);
@@ -404,7 +404,7 @@
     for (int i = 0; i < 3000; ++i) {
         if (i % 20 == 0) rig.text(0, 0);
         rig.now = rig.now + Span::millis(5);
-        for (auto& [s, full] : out) rig.end(s, full ? End::full : End::delivered);
+        for (auto& [s, full] : out) rig.end(s, full ? SubmitStatus::overloaded : SubmitStatus::delivered);
         out.clear();
         rig.pull();
         allowance = std::min(1.0, allowance + 0.01);
@@ -431,9 +431,9 @@
         rig.pull();
         for (const Submit& s : std::vector<Submit>(rig.submits)) {
             rig.now = rig.now + Span::millis(1);
-            bool here = s.endpoint == EndpointIx(0u), fails = here && (dead ? i > 200 : i % 100 == 0);
+            bool here = s.endpoint == EndpointIndex(0u), fails = here && (dead ? i > 200 : i % 100 == 0);
             delivered += !fails && i > 200, there += here;
-            rig.end(s, fails ? End::unreachable : End::delivered);
+            rig.end(s, fails ? SubmitStatus::unreachable : SubmitStatus::delivered);
         }
     }
     CHECK(delivered >= 95);        // of the hundred that came meanwhile
@@ -453,7 +453,7 @@
         }
         for (auto& [ix, row] : rig.rules.rows) {
             if (!row.out || rig.now - row.startedAt < Span::seconds(3)) continue;
-            rig.end(Submit{ix, *row.out, Span()}, End::timeout);
+            rig.end(Submit{ix, *row.out, Span()}, SubmitStatus::timeout);
         }
     }
     CHECK(longest >= Span::seconds(3));
@@ -461,8 +461,8 @@
 }
 
 TEST_CASE("what a hundred senders do together after a refusal, a told wait or an outage is spread") {
-    End how = GENERATE(End::full, End::unreachable);
-    Span told = how == End::full ? GENERATE(Span(), Span::seconds(1)) : Span();
+    SubmitStatus how = GENERATE(SubmitStatus::overloaded, SubmitStatus::unreachable);
+    Span told = how == SubmitStatus::overloaded ? GENERATE(Span(), Span::seconds(1)) : Span();
     std::map<int, size_t> bySecond;
     size_t inTime = 0;
     for (uint32_t seed = 1; seed <= 100; ++seed) {
@@ -491,9 +491,9 @@
         rig.text(0, 0);
         for (int tries = 0; tries < 6; ++tries) {
             for (const Submit& s : rig.run(Span::millis(20))) {
-                bool dead = s.endpoint == EndpointIx(0u);
+                bool dead = s.endpoint == EndpointIndex(0u);
                 delivered += !dead;
-                rig.end(s, dead ? End::unreachable : End::delivered);
+                rig.end(s, dead ? SubmitStatus::unreachable : SubmitStatus::delivered);
             }
         }
         rig.run(Span::seconds(15));
@@ -504,7 +504,7 @@
 TEST_CASE("once silence was seen to last, a full sender gives an overdue call up before its SLA time") {
     bool seen = GENERATE(true, false);
     Set set;
-    set.room.calls = 2;
+    set.room.maxCalls = 2;
     Rig rig(set);
     for (uint32_t d = 0; d < 3; ++d) rig.endpoints(d, d, 1);
     for (uint32_t i = 0; i < 60; ++i) {
@@ -512,11 +512,11 @@
         for (const Submit& s : rig.run(Span::millis(20))) {
             bool silent = seen && i % 4 == 3;
             rig.now = rig.now + (silent ? s.timeout : Span::millis(100));
-            rig.end(s, silent ? End::timeout : End::delivered);
+            rig.end(s, silent ? SubmitStatus::timeout : SubmitStatus::delivered);
         }
     }
     for (int i = 0; i < 1000; ++i) {
-        for (const Submit& s : rig.run(Span::millis(20))) rig.end(s, End::delivered);
+        for (const Submit& s : rig.run(Span::millis(20))) rig.end(s, SubmitStatus::delivered);
     }
     rig.text(0, 0), rig.text(1, 0), rig.text(2, 0);
     size_t cancels = 0;
@@ -526,13 +526,13 @@
 
 TEST_CASE("a text whose turn comes after its time is answered at once, its program told when to come back") {
     Set set = unlimited();
-    set.crew.senders = 1000, set.room.held = 0;
+    set.crew.senders = 1000, set.room.maxTexts = 0;
     Rig rig(set);
     rig.endpoints(0, 0, 1, 0, 1);  // one call a second for a thousand: a turn is a quarter of an hour
     size_t early = 0;
     for (int i = 0; i < 12000; ++i) {
         if (i % 20 == 0) rig.text(0, 0);
-        for (const Submit& s : rig.run(Span::millis(5))) rig.end(s, End::full);
+        for (const Submit& s : rig.run(Span::millis(5))) rig.end(s, SubmitStatus::overloaded);
         for (const Decision& d : rig.others) {
             const auto* nack = std::get_if<Nack>(&d);
             early += nack && nack->pause > Span() && rig.count[nack->text] == 0;
@@ -546,27 +546,27 @@
     rig.endpoints(0, 0, 1, 1);  // a route of its own
     rig.text(0, 0);
     REQUIRE(rig.pull() == 1);
-    rig.end(rig.submits[0], End::full, Span::seconds(9));
+    rig.end(rig.submits[0], SubmitStatus::overloaded, Span::seconds(9));
     REQUIRE(rig.pull() == 0);
-    rig.list({{EndpointIx(0u), DestinationIx(0u), ZoneIx(0u), KindIx(1u), Listed::gone, 0}});
-    rig.list({{EndpointIx(0u), DestinationIx(0u), ZoneIx(0u), KindIx(1u), Listed::active, 0}});
+    rig.list({{EndpointIndex(0u), DestinationIndex(0u), ZoneIndex(0u), KindIndex(1u), ListState::removed, 0}});
+    rig.list({{EndpointIndex(0u), DestinationIndex(0u), ZoneIndex(0u), KindIndex(1u), ListState::active, 0}});
     auto again = rig.run(Span::millis(300));
     REQUIRE(again.size() == 1);
-    rig.end(again[0], End::delivered);
+    rig.end(again[0], SubmitStatus::delivered);
     // One that goes with a call out is forgotten as that ends, and its index can serve another destination.
     rig.text(0, 0);
     REQUIRE(rig.pull() == 1);
-    rig.list({{EndpointIx(0u), DestinationIx(0u), ZoneIx(0u), KindIx(1u), Listed::gone, 0}});
-    rig.end(rig.submits[0], End::delivered);
-    rig.list({{EndpointIx(0u), DestinationIx(5u), ZoneIx(0u), KindIx(0u), Listed::active, 0}});
+    rig.list({{EndpointIndex(0u), DestinationIndex(0u), ZoneIndex(0u), KindIndex(1u), ListState::removed, 0}});
+    rig.end(rig.submits[0], SubmitStatus::delivered);
+    rig.list({{EndpointIndex(0u), DestinationIndex(5u), ZoneIndex(0u), KindIndex(0u), ListState::active, 0}});
     rig.text(0, 0);
     rig.text(5, 0);
     REQUIRE(rig.pull() == 1);
-    CHECK(rig.submits[0].endpoint == EndpointIx(0u));
+    CHECK(rig.submits[0].endpoint == EndpointIndex(0u));
     // A wait that a whole destination was told binds the new endpoint as well.
-    rig.end(rig.submits[0], End::full, Span::millis(900));
-    rig.list({{EndpointIx(0u), DestinationIx(5u), ZoneIx(0u), KindIx(0u), Listed::gone, 0}});
-    rig.list({{EndpointIx(1u), DestinationIx(5u), ZoneIx(0u), KindIx(0u), Listed::active, 0}});
+    rig.end(rig.submits[0], SubmitStatus::overloaded, Span::millis(900));
+    rig.list({{EndpointIndex(0u), DestinationIndex(5u), ZoneIndex(0u), KindIndex(0u), ListState::removed, 0}});
+    rig.list({{EndpointIndex(1u), DestinationIndex(5u), ZoneIndex(0u), KindIndex(0u), ListState::active, 0}});
     CHECK(rig.run(Span::millis(880)).empty());
     CHECK(rig.run(Span::seconds(3)).size() == 1);
 }
@@ -579,7 +579,7 @@
     Submit next = rig.submits[3];
     for (int i = 0; i < 20; ++i) {
         rig.now = rig.now + Span::millis(100);
-        rig.end(next, End::delivered);
+        rig.end(next, SubmitStatus::delivered);
         rig.text(0, 2);
         REQUIRE(rig.pull() == 1);
         next = rig.submits[0];
@@ -591,7 +591,7 @@
 TEST_CASE("a few calls that break in a row are no outage where others are delivered all along") {
     Rig rig;
     rig.endpoints(0, 0, 1);
-    auto deliver = [&](End how) {
+    auto deliver = [&](SubmitStatus how) {
         rig.text(0, 0);
         auto went = rig.run(Span::millis(20));
         for (int i = 0; went.empty() && i < 20; ++i) went = rig.run(Span::millis(50));
@@ -599,12 +599,12 @@
         rig.now = rig.now + Span::millis(30);
         rig.end(went[0], how);
     };
-    for (int i = 0; i < 30; ++i) deliver(End::delivered);
+    for (int i = 0; i < 30; ++i) deliver(SubmitStatus::delivered);
     rig.text(0, 2), rig.text(0, 2);
     REQUIRE(rig.pull() == 2);
     auto broke = rig.submits;
-    for (const Submit& s : broke) rig.end(s, End::reset);
-    deliver(End::delivered);  // the trial
+    for (const Submit& s : broke) rig.end(s, SubmitStatus::reset);
+    deliver(SubmitStatus::delivered);  // the trial
     for (int i = 0; i < 3; ++i) rig.text(0, 2);
     CHECK(rig.run(Span::millis(50)).size() == 3);
 }
@@ -615,23 +615,23 @@
     set.crew.senders = 100;
     Rig rig(set);
     rig.endpoints(0, 0, 2);
-    auto end = [&](const Submit& s, End how, bool report, bool fresh) {
-        SubmitEnd e{s.text, s.endpoint, how, how == End::delivered, Span(), {}, {}, fresh};
-        if (report) e.reportedLimit = 400, e.reportedLeft = 0.9;
+    auto end = [&](const Submit& s, SubmitStatus how, bool report, bool fresh) {
+        SubmitResult e{s.text, s.endpoint, how, how == SubmitStatus::delivered, Span(), {}, {}, fresh};
+        if (report) e.reportedLimit = 400, e.reportedRemaining = 0.9;
         rig.rules.ended(rig.now, e);
-        rig.sender->ended(rig.now, e);
+        rig.sender->onSubmitResult(rig.now, e);
     };
     rig.text(0, 0);
     REQUIRE(rig.pull() == 1);
-    end(rig.submits[0], End::delivered, true, true);
+    end(rig.submits[0], SubmitStatus::delivered, true, true);
     for (int refused = 0; refused < 3;) {
         rig.text(0, 0);
-        for (const Submit& s : rig.run(Span::millis(500))) end(s, End::full, !atTheDoor, true), ++refused;
+        for (const Submit& s : rig.run(Span::millis(500))) end(s, SubmitStatus::overloaded, !atTheDoor, true), ++refused;
     }
     auto deliver = [&](int rounds) {
         size_t sent = 0;
         for (int i = 0; i < rounds; ++i) {
-            for (const Submit& s : rig.run(Span::millis(50))) end(s, End::delivered, true, false), ++sent;
+            for (const Submit& s : rig.run(Span::millis(50))) end(s, SubmitStatus::delivered, true, false), ++sent;
         }
         return sent;
     };
@@ -651,24 +651,24 @@
     set.crew.senders = 100;
     Rig rig(set);
     rig.endpoints(0, 0, 1);
-    auto end = [&](const Submit& s, End how, double limit, double share) {
-        SubmitEnd e{s.text, s.endpoint, how, how == End::delivered, Span(), limit, share, true};
+    auto end = [&](const Submit& s, SubmitStatus how, double limit, double share) {
+        SubmitResult e{s.text, s.endpoint, how, how == SubmitStatus::delivered, Span(), limit, share, true};
         rig.rules.ended(rig.now, e);
-        rig.sender->ended(rig.now, e);
+        rig.sender->onSubmitResult(rig.now, e);
     };
     for (int ended = 0; ended < 12;) {
         if (rig.count.size() < 5) rig.text(0, 0);
         for (const Submit& s : rig.run(Span::millis(50)))
-            end(s, ended++ % 3 < 2 ? End::full : End::delivered, 100, 0);
+            end(s, ended++ % 3 < 2 ? SubmitStatus::overloaded : SubmitStatus::delivered, 100, 0);
     }
     for (int i = 0; i < 40; ++i) rig.text(0, 0);
     size_t sent = 0;
     for (int i = 0; i < 400 && sent < 2; ++i) {
-        for (const Submit& s : rig.run(Span::millis(50))) end(s, End::delivered, 400, left), ++sent;
+        for (const Submit& s : rig.run(Span::millis(50))) end(s, SubmitStatus::delivered, 400, left), ++sent;
     }
     sent = 0;
     for (int i = 0; i < 60; ++i) {
-        for (const Submit& s : rig.run(Span::millis(50))) end(s, End::delivered, 400, left), ++sent;
+        for (const Submit& s : rig.run(Span::millis(50))) end(s, SubmitStatus::delivered, 400, left), ++sent;
     }
     return sent;
 }
@@ -680,7 +680,7 @@
 
 TEST_CASE("with all slots out a call that was long overtaken at its endpoint is given up, though none was lost before") {
     Set set;
-    set.room.calls = 4, set.room.held = 0;
+    set.room.maxCalls = 4, set.room.maxTexts = 0;
     Rig rig(set);
     rig.endpoints(0, 0, 1);
     std::deque<std::pair<Instant, Submit>> out;
@@ -692,7 +692,7 @@
         rig.now = rig.now + Span::millis(5);
         if (i % 4 == 0) rig.text(0, 2), rig.text(0, 2);
         while (!out.empty() && out.front().first <= rig.now) {
-            rig.end(out.front().second, End::delivered);
+            rig.end(out.front().second, SubmitStatus::delivered);
             out.pop_front(), ++answered;
         }
         rig.pull();
--- a/tests/network_test.cpp
+++ b/tests/network_test.cpp
@@ -47,11 +47,11 @@
                                  connectWithin,
                                  Span::seconds(2),
                                  [box = ends](CallEnd e) { box->postHeld(std::move(e)); }};
-        actor = std::make_shared<EndpointActor>(EndpointIx(0u), address, ways);
+        actor = std::make_shared<EndpointActor>(EndpointIndex(0u), address, ways);
     }
     void call(uint32_t text, Span time) {
         Call c;
-        c.texts = {TextIx(text)}, c.parcels = parcels({"a"}), c.until = steadyNow() + time;
+        c.texts = {TextIndex(text)}, c.parcels = parcels({"a"}), c.until = steadyNow() + time;
         REQUIRE(actor->call(std::move(c)));
     }
     std::optional<Ending> ending(Span within = Span::millis(400)) {
@@ -88,9 +88,9 @@
     CHECK((end == Ending::timedOutUnsent || end == Ending::neverUp));
     at.call(2, Span::seconds(5));
     CHECK_FALSE(at.ending(Span::millis(100)));
-    at.actor->cancel(TextIx(3u));
+    at.actor->cancel(TextIndex(3u));
     CHECK_FALSE(at.ending(Span::millis(100)));
-    at.actor->cancel(TextIx(2u));
+    at.actor->cancel(TextIndex(2u));
     CHECK(at.ending() == Ending::cancelledUnsent);
     at.call(4, Span::seconds(5));
     CHECK_FALSE(at.ending(Span::millis(100)));
@@ -118,7 +118,7 @@
     CHECK(at.ending() == Ending::timedOut);
     at.call(2, Span::seconds(5));
     REQUIRE(eventually([&] { return silent.count("POST /events") == 2; }));
-    at.actor->cancel(TextIx(2u));
+    at.actor->cancel(TextIndex(2u));
     CHECK(at.ending() == Ending::cancelled);
     Peer broken(
         [](const std::string&) { return std::string("HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nx"); });
@@ -218,18 +218,18 @@
 TEST_CASE("only ends that may have run are told as such") {
     auto end = [](Ending e, Verdict v = Verdict::error) { return outcomeOf(e, v).end; };
     for (Ending e : {Ending::refused, Ending::neverUp, Ending::brokeBeforeSent, Ending::timedOutUnsent}) {
-        CHECK(end(e) == End::unreachable);
+        CHECK(end(e) == SubmitStatus::unreachable);
     }
-    CHECK(end(Ending::noMeans) == End::notSent);
-    CHECK(end(Ending::cancelledUnsent) == End::notSent);
-    CHECK(end(Ending::brokeAfterSent) == End::reset);
-    CHECK(end(Ending::oddAnswer) == End::error);
+    CHECK(end(Ending::noMeans) == SubmitStatus::notSent);
+    CHECK(end(Ending::cancelledUnsent) == SubmitStatus::notSent);
+    CHECK(end(Ending::brokeAfterSent) == SubmitStatus::reset);
+    CHECK(end(Ending::oddAnswer) == SubmitStatus::error);
     for (Verdict v : {Verdict::turnedAway, Verdict::notSent, Verdict::over, Verdict::error}) {
-        CHECK(end(Ending::halfAnswered, v) == End::error);
+        CHECK(end(Ending::halfAnswered, v) == SubmitStatus::error);
     }
-    CHECK(end(Ending::timedOut) == End::timeout);
-    CHECK(end(Ending::cancelled) == End::cancelled);
-    CHECK(end(Ending::halfAnswered, Verdict::delivered) == End::delivered);
+    CHECK(end(Ending::timedOut) == SubmitStatus::timeout);
+    CHECK(end(Ending::cancelled) == SubmitStatus::cancelled);
+    CHECK(end(Ending::halfAnswered, Verdict::delivered) == SubmitStatus::delivered);
     CHECK(outcomeOf(Ending::answered, Verdict::over).over);
 }
 
--- a/tests/operators_test.cpp
+++ b/tests/operators_test.cpp
@@ -123,33 +123,33 @@
     rig.endpoints(0, 0, 2);
     rig.endpoints(1, 2, 1);
     rig.pull();
-    rig.sender->banned(rig.now, EndpointIx(0u), true);
-    rig.sender->banned(rig.now, EndpointIx(2u), true);
+    rig.sender->setEndpointDisabled(rig.now, EndpointIndex(0u), true);
+    rig.sender->setEndpointDisabled(rig.now, EndpointIndex(2u), true);
     rig.endpoints(0, 0, 2);  // the list names both as active once more
     rig.endpoints(1, 2, 1);
-    std::vector<TextIx> held;
+    std::vector<TextIndex> held;
     for (int i = 0; i < 40; ++i) {
         rig.text(0, 0);
         if (i < 5) held.push_back(rig.text(1, 0));
         for (const Submit& s : rig.run(Span::millis(100))) {
-            CHECK(s.endpoint == EndpointIx(1u));
-            rig.end(s, End::delivered);
+            CHECK(s.endpoint == EndpointIndex(1u));
+            rig.end(s, SubmitStatus::delivered);
         }
     }
-    for (TextIx t : held) CHECK(rig.rules.rows.at(t).answers == 0);  // they wait for their time
+    for (TextIndex t : held) CHECK(rig.rules.rows.at(t).answers == 0);  // they wait for their time
     // Given back: the fellow's return is a trickle, the only one comes back by one trial, then by its budget.
-    rig.sender->banned(rig.now, EndpointIx(2u), false);
+    rig.sender->setEndpointDisabled(rig.now, EndpointIndex(2u), false);
     size_t first = 0;
-    for (const Submit& s : rig.run(Span::millis(200))) first += s.endpoint == EndpointIx(2u);
+    for (const Submit& s : rig.run(Span::millis(200))) first += s.endpoint == EndpointIndex(2u);
     CHECK(first == 1);
-    rig.sender->banned(rig.now, EndpointIx(0u), false);
+    rig.sender->setEndpointDisabled(rig.now, EndpointIndex(0u), false);
     int back = 0, all = 0;
     for (int i = 0; i < 20; ++i) {
         rig.text(0, 0);
         for (const Submit& s : rig.run(Span::millis(20))) {
-            if (s.endpoint == EndpointIx(2u)) continue;
-            ++all, back += s.endpoint == EndpointIx(0u);
-            rig.end(s, End::delivered);
+            if (s.endpoint == EndpointIndex(2u)) continue;
+            ++all, back += s.endpoint == EndpointIndex(0u);
+            rig.end(s, SubmitStatus::delivered);
         }
     }
     CHECK(all >= 20);
@@ -159,8 +159,8 @@
 TEST_CASE("module: an index that becomes another's leaves its ban behind") {
     Rig rig;
     rig.endpoints(0, 0, 1);
-    rig.sender->banned(rig.now, EndpointIx(0u), true);
-    rig.list({{EndpointIx(0u), DestinationIx(0u), ZoneIx(0u), KindIx(0u), Listed::gone, 0}});
+    rig.sender->setEndpointDisabled(rig.now, EndpointIndex(0u), true);
+    rig.list({{EndpointIndex(0u), DestinationIndex(0u), ZoneIndex(0u), KindIndex(0u), ListState::removed, 0}});
     rig.endpoints(0, 0, 1);
     rig.text(0, 0);
     CHECK(rig.run(Span::millis(100)).size() == 1);
--- a/tests/rules_model_test.cpp
+++ b/tests/rules_model_test.cpp
@@ -9,7 +9,7 @@
 struct Late {
     Instant at;
     Submit submit;
-    End end;
+    SubmitStatus end;
     Span wait;
 };
 
@@ -19,7 +19,7 @@
     Rig rig(set, seed);
     for (uint32_t d = 0; d < 4; ++d) rig.endpoints(d, 3 * d, 1 + draw(3), d % 3, 1 + draw(20));
     std::vector<Late> late;
-    std::vector<TextIx> texts;
+    std::vector<TextIndex> texts;
     Instant stop = rig.now + Span::seconds(25);
     while (rig.now < stop + Span::seconds(25)) {
         rig.now = rig.now + Span::millis(5 + draw(30));
@@ -29,7 +29,7 @@
             Late l = late.front();
             late.erase(late.begin());
             auto& row = rig.rules.rows[l.submit.text];
-            if (rig.now >= row.arrival.validUntil) l.end = End::timeout, l.wait = Span();
+            if (rig.now >= row.arrival.validUntil) l.end = SubmitStatus::timeout, l.wait = Span();
             rig.end(l.submit, l.end, l.wait);
         }
         if (rig.now < stop && draw(3) == 0) {
@@ -41,7 +41,7 @@
             auto entry =
                 std::next(rig.rules.list.begin(), draw(static_cast<uint32_t>(rig.rules.list.size())));
             ListEntry changed = entry->second;
-            const Listed states[] = {Listed::active, Listed::active, Listed::leaving, Listed::gone};
+            const ListState states[] = {ListState::active, ListState::active, ListState::draining, ListState::removed};
             changed.state = states[draw(4)];
             rig.list(std::vector<ListEntry>(draw(3) == 0 ? 300 : 1, changed));
         }
@@ -50,21 +50,21 @@
             Instant limit = rig.rules.rows[s.text].arrival.validUntil;
             if (s.timeout > Span()) limit = std::min(limit, rig.now + s.timeout);
             Instant at = rig.now + Span::millis(6 + draw(600));
-            End how = End::delivered;
+            SubmitStatus how = SubmitStatus::delivered;
             Span wait;
             if (draw(1000) < badShare * 1000) {
-                const End bad[] = {End::error,       End::full,  End::timeout,
-                                   End::unreachable, End::reset, End::notSent};
+                const SubmitStatus bad[] = {SubmitStatus::error,       SubmitStatus::overloaded,  SubmitStatus::timeout,
+                                   SubmitStatus::unreachable, SubmitStatus::reset, SubmitStatus::notSent};
                 how = bad[draw(6)];
-                if (how == End::full && draw(2) == 0) wait = Span::millis(draw(2000));
+                if (how == SubmitStatus::overloaded && draw(2) == 0) wait = Span::millis(draw(2000));
             }
-            if (at >= limit) at = limit, how = End::timeout, wait = Span();
+            if (at >= limit) at = limit, how = SubmitStatus::timeout, wait = Span();
             late.push_back({at, s, how, wait});
         }
     }
     REQUIRE(texts.size() > 50);
     size_t delivered = 0;
-    for (TextIx t : texts) {
+    for (TextIndex t : texts) {
         const auto& row = rig.rules.rows[t];
         INFO("seed " << seed << " text " << t.value);
         CHECK(row.answers == 1);
@@ -94,16 +94,16 @@
 
 TEST_CASE("the same under odd settings") {
     Set set;
-    set.products[1].memoryByZone = true;
+    set.products[1].dedupPerZone = true;
     SECTION("nothing is limited and nothing told") {
-        set.room = Room{};
+        set.room = SenderLimits{};
         set.crew.senders = 0;
-        set.cold = ColdRule{};
-        set.links = Links{};
+        set.cold = ColdStartRule{};
+        set.links = ConnectionRule{};
     }
-    SECTION("one slot, one submit") { set.room.calls = set.room.submits = 1; }
-    SECTION("one slot, a store of one") { set.room.calls = set.room.held = 1; }
+    SECTION("one slot, one submit") { set.room.maxCalls = set.room.maxSubmits = 1; }
+    SECTION("one slot, a store of one") { set.room.maxCalls = set.room.maxTexts = 1; }
     SECTION("thousands of senders") { set.crew.senders = 5000; }
-    SECTION("no kinds are named, so every endpoint is of the plain one") { set.kinds.resize(3, Kind{}); }
+    SECTION("no kinds are named, so every endpoint is of the plain one") { set.kinds.resize(3, EndpointKind{}); }
     play(set, GENERATE(take(6, random(1, 1'000'000))), 0.3);
 }
--- a/tests/scale_test.cpp
+++ b/tests/scale_test.cpp
@@ -30,13 +30,13 @@
     using Roster::destination, Roster::drop, Roster::dropIfGone, Roster::endpoints_, Roster::placeOf,
         Roster::places_;
     void tell(ListScope scope, const std::vector<ListEntry>& entries) {
-        list(scope, entries, true, [](KindIx kind) { return kind == KindIx(1u); });
+        list(scope, entries, true, [](KindIndex kind) { return kind == KindIndex(1u); });
     }
 };
 
 Set manySet(int calls, int held) {
     Set set;
-    set.products = {{Span::seconds(3), Span::seconds(20), Effect::resendable, Span(), false, 1, 0.3}};
+    set.products = {{Span::seconds(3), Span::seconds(20), Effect::idempotent, Span(), false, 1, 0.3}};
     set.kinds = {{1, false}};
     set.room = {calls, held, 8, true, Span::millis(5), Span::seconds(2)};
     return set;
@@ -44,18 +44,18 @@
 
 // A world in which every call ends after a while as its destination says.
 struct Crowd : Rig {
-    std::multimap<Instant, std::pair<Submit, End>> ends;
-    std::function<End(uint32_t destination)> how = [](uint32_t) { return End::delivered; };
-    std::map<End, long> ended;
+    std::multimap<Instant, std::pair<Submit, SubmitStatus>> ends;
+    std::function<SubmitStatus(uint32_t destination)> how = [](uint32_t) { return SubmitStatus::delivered; };
+    std::map<SubmitStatus, long> ended;
     long further = 0, nacked = 0, mostOut = 0;
     std::map<uint32_t, long> outOf, nackedOf;
 
     Crowd(Set s, uint32_t destinations) : Rig(std::move(s)) {
         std::vector<ListEntry> entries;
         for (uint32_t d = 0; d < destinations; ++d) {
-            entries.push_back({EndpointIx(d), DestinationIx(d), ZoneIx(0u), KindIx(0u), Listed::active, 0});
+            entries.push_back({EndpointIndex(d), DestinationIndex(d), ZoneIndex(0u), KindIndex(0u), ListState::active, 0});
         }
-        list(entries, ListScope::whole);
+        list(entries, ListScope::complete);
     }
     void step() {
         pull();
@@ -86,12 +86,12 @@
 
 TEST_CASE("names at the door: as a plain map has them, however they come and go") {
     std::mt19937 chance(3);
-    Door<DestinationIx> door;
-    std::map<std::string, DestinationIx> model;
+    NameTable<DestinationIndex> door;
+    std::map<std::string, DestinationIndex> model;
     for (int i = 0; i < 20000; ++i) {
         std::string name = "n" + std::to_string(chance() % 700);
         if (chance() % 2 == 0) {
-            DestinationIx ix = door.admit(name);
+            DestinationIndex ix = door.intern(name);
             if (auto known = model.find(name); known != model.end()) CHECK(known->second == ix);
             for (int k = 0; k < 3 && i % 100 == 0; ++k) CHECK(door.name(ix) == name);
             model[name] = ix;
@@ -100,10 +100,10 @@
             door.release(known->second);
             model.erase(known);
         } else {
-            CHECK(!door.find(name).known());
+            CHECK(!door.find(name).isKnown());
         }
     }
-    std::set<DestinationIx> indices;
+    std::set<DestinationIndex> indices;
     for (const auto& [name, ix] : model) CHECK((door.find(name) == ix && indices.insert(ix).second));
     CHECK(model.size() > 200);
 }
@@ -143,35 +143,35 @@
 }
 
 TEST_CASE("endpoints of a destination share a place unless they are routes apart, and nothing gone is kept") {
-    auto entry = [](size_t e, size_t d, size_t kind, Listed state = Listed::active) {
-        return ListEntry{EndpointIx(e), DestinationIx(d), ZoneIx(0u), KindIx(kind), state, 5.0};
+    auto entry = [](size_t e, size_t d, size_t kind, ListState state = ListState::active) {
+        return ListEntry{EndpointIndex(e), DestinationIndex(d), ZoneIndex(0u), KindIndex(kind), state, 5.0};
     };
     Records all;
-    all.tell(ListScope::whole, {entry(0, 0, 0), entry(1, 0, 0), entry(2, 1, 1), entry(3, 1, 1)});
-    CHECK(all.placeOf(EndpointIx(0u)) == all.placeOf(EndpointIx(1u)));
-    CHECK(all.placeOf(EndpointIx(2u)) != all.placeOf(EndpointIx(3u)));
-    CHECK(all.places_.seed(all.placeOf(EndpointIx(3u))).listedRate == 5);
-    CHECK(all.destination(DestinationIx(1u)).endpoints == std::vector<uint32_t>{2, 3});
+    all.tell(ListScope::complete, {entry(0, 0, 0), entry(1, 0, 0), entry(2, 1, 1), entry(3, 1, 1)});
+    CHECK(all.placeOf(EndpointIndex(0u)) == all.placeOf(EndpointIndex(1u)));
+    CHECK(all.placeOf(EndpointIndex(2u)) != all.placeOf(EndpointIndex(3u)));
+    CHECK(all.places_.seed(all.placeOf(EndpointIndex(3u))).listedRate == 5);
+    CHECK(all.destination(DestinationIndex(1u)).endpoints == std::vector<uint32_t>{2, 3});
 
     // Gone with a call out it is kept until that is back; a whole list that does not name it says the same.
     all.endpoints_[2].out.starts.insert(Instant());
-    all.tell(ListScope::whole, {entry(0, 0, 0), entry(3, 1, 1)});
-    CHECK(all.destination(DestinationIx(0u)).endpoints == std::vector<uint32_t>{0});
-    CHECK(all.destination(DestinationIx(1u)).endpoints == std::vector<uint32_t>{2, 3});
-    uint32_t freed = all.placeOf(EndpointIx(2u));
+    all.tell(ListScope::complete, {entry(0, 0, 0), entry(3, 1, 1)});
+    CHECK(all.destination(DestinationIndex(0u)).endpoints == std::vector<uint32_t>{0});
+    CHECK(all.destination(DestinationIndex(1u)).endpoints == std::vector<uint32_t>{2, 3});
+    uint32_t freed = all.placeOf(EndpointIndex(2u));
     all.endpoints_[2].out.starts.clear(), all.dropIfGone(2);
-    CHECK(all.destination(DestinationIx(1u)).endpoints == std::vector<uint32_t>{3});
+    CHECK(all.destination(DestinationIndex(1u)).endpoints == std::vector<uint32_t>{3});
     CHECK(all.places_.seed(freed).listedRate == 0);
     all.tell(ListScope::changes, {entry(4, 2, 0)});
-    CHECK(all.placeOf(EndpointIx(4u)) == freed);
+    CHECK(all.placeOf(EndpointIndex(4u)) == freed);
 
     // A list that is old takes nothing off for good.
-    all.tell(ListScope::old, {entry(3, 1, 1)});
+    all.tell(ListScope::cached, {entry(3, 1, 1)});
     CHECK(!all.endpoints_.seed(0).usable());
-    CHECK(all.destination(DestinationIx(0u)).endpoints == std::vector<uint32_t>{0});
-    all.tell(ListScope::changes, {entry(4, 2, 0, Listed::gone)}), all.drop(DestinationIx(2u));
+    CHECK(all.destination(DestinationIndex(0u)).endpoints == std::vector<uint32_t>{0});
+    all.tell(ListScope::changes, {entry(4, 2, 0, ListState::removed)}), all.drop(DestinationIndex(2u));
     all.tell(ListScope::changes, {entry(5, 3, 0)});
-    CHECK(all.placeOf(EndpointIx(5u)) == freed);
+    CHECK(all.placeOf(EndpointIndex(5u)) == freed);
 }
 
 TEST_CASE("the roster's chains are the lists that they stand for") {
@@ -188,7 +188,7 @@
             std::erase(model[at->second], e);
             home.erase(at);
         } else {
-            link(endpoints, destinations, e, {DestinationIx(d), ZoneIx(), KindIx(), 0, kNone, true, false});
+            link(endpoints, destinations, e, {DestinationIndex(d), ZoneIndex(), KindIndex(), 0, kNone, true, false});
             model[d].push_back(e), home[e] = d;
         }
         if (chance() % 10 == 0)
@@ -217,10 +217,10 @@
 TEST_CASE("all destinations full for a minute, then free: all texts that come then are delivered") {
     Crowd crowd(manySet(256, 0), 300);
     bool full = true;
-    crowd.how = [&](uint32_t) { return full ? End::full : End::delivered; };
+    crowd.how = [&](uint32_t) { return full ? SubmitStatus::overloaded : SubmitStatus::delivered; };
     auto arrive = [&] { crowd.text(crowd.nextText * 7919 % 300, 0); };
     crowd.go(Span::seconds(60), arrive);
-    long before = crowd.ended[End::full];
+    long before = crowd.ended[SubmitStatus::overloaded];
     // What is wasted meanwhile: all slots once at first, then once in four seconds; each text its first
     // submit.
     CHECK(crowd.further < 256 + 256 * 60 / 4 + 300);
@@ -231,18 +231,18 @@
     crowd.go(Span::seconds(5), arrive);
     crowd.go(Span::seconds(3));
     long late = 0;
-    for (uint32_t t = first; t < crowd.nextText; ++t) late += !crowd.rules.rows.at(TextIx(t)).over;
+    for (uint32_t t = first; t < crowd.nextText; ++t) late += !crowd.rules.rows.at(TextIndex(t)).over;
     CHECK(late == 0);
-    CHECK(crowd.ended[End::delivered] >= static_cast<long>(crowd.nextText - first));
+    CHECK(crowd.ended[SubmitStatus::delivered] >= static_cast<long>(crowd.nextText - first));
 }
 
 TEST_CASE("a large share fails together: further submits stay within what others deliver") {
     Crowd crowd(manySet(64, 0), 2000);
-    crowd.how = [](uint32_t d) { return d < 1800 ? End::unreachable : End::delivered; };
+    crowd.how = [](uint32_t d) { return d < 1800 ? SubmitStatus::unreachable : SubmitStatus::delivered; };
     crowd.go(Span::seconds(20), [&] {
         crowd.text(crowd.nextText * 7919 % 2000, 0), crowd.text(crowd.nextText * 104729 % 2000, 0);
     });
-    long delivered = crowd.ended[End::delivered];
+    long delivered = crowd.ended[SubmitStatus::delivered];
     CHECK(delivered > 700);
     CHECK(crowd.further < delivered + 64 + 64 * 20 / 4 + 64);
     // And those that are well lose nothing by it.
@@ -256,7 +256,7 @@
 
 TEST_CASE("one hung destination with 20,000 texts: others' are all delivered, its own have a bound") {
     Crowd crowd(manySet(32, 4000), 50);
-    crowd.how = [](uint32_t d) { return d == 0 ? End::timeout : End::delivered; };
+    crowd.how = [](uint32_t d) { return d == 0 ? SubmitStatus::timeout : SubmitStatus::delivered; };
     uint32_t n = 0;
     crowd.go(Span::seconds(10), [&] {
         for (int i = 0; i < 10; ++i) crowd.text(0, 0);
@@ -283,20 +283,20 @@
     for (uint32_t d = 0; d < 5000; ++d) crowd.text(d, 0), crowd.text(d, 0);
     crowd.go(Span::seconds(8));
     long open = 0;
-    for (uint32_t t = first; t < crowd.nextText; ++t) open += !crowd.rules.rows.at(TextIx(t)).over;
+    for (uint32_t t = first; t < crowd.nextText; ++t) open += !crowd.rules.rows.at(TextIndex(t)).over;
     CHECK(open == 0);
     CHECK(crowd.mostOut <= 2);
 }
 
 TEST_CASE("what outlives a destination's rest: a told wait, an outage; not what it was when forgotten") {
     Crowd crowd(manySet(64, 0), 4);
-    End end = End::unreachable;
-    crowd.how = [&](uint32_t d) { return d == 1 ? end : End::delivered; };
+    SubmitStatus end = SubmitStatus::unreachable;
+    crowd.how = [&](uint32_t d) { return d == 1 ? end : SubmitStatus::delivered; };
     // Destination 0 is told to wait for 150 s, 1 is out, 2 and 3 are well.
     crowd.text(0, 0);
     crowd.pull();
     REQUIRE(crowd.submits.size() == 1);
-    crowd.end(crowd.submits[0], End::full, Span::seconds(150));
+    crowd.end(crowd.submits[0], SubmitStatus::overloaded, Span::seconds(150));
     crowd.go(Span::seconds(4), [&] { crowd.text(1, 0), crowd.text(2, 0); });
     crowd.go(Span::seconds(110));  // longer than a text is valid, and long enough to rest
     crowd.ended.clear();
@@ -309,12 +309,12 @@
     CHECK(sent[0] == 0);  // the plain model would have complained too
     CHECK(sent[1] <= 1);
     CHECK(sent[2] > 1);
-    for (const Submit& s : crowd.submits) crowd.end(s, End::delivered);
+    for (const Submit& s : crowd.submits) crowd.end(s, SubmitStatus::delivered);
     // Its endpoint goes, its name too, and the index becomes another's.
     crowd.go(Span::seconds(21));
-    crowd.list({{EndpointIx(1), DestinationIx(1), ZoneIx(0u), KindIx(0u), Listed::gone, 0}});
-    crowd.sender->forgotten(crowd.now, DestinationIx(1));
-    crowd.list({{EndpointIx(1), DestinationIx(1), ZoneIx(0u), KindIx(0u), Listed::active, 0}});
+    crowd.list({{EndpointIndex(1), DestinationIndex(1), ZoneIndex(0u), KindIndex(0u), ListState::removed, 0}});
+    crowd.sender->onDestinationRemoved(crowd.now, DestinationIndex(1));
+    crowd.list({{EndpointIndex(1), DestinationIndex(1), ZoneIndex(0u), KindIndex(0u), ListState::active, 0}});
     for (int i = 0; i < 10; ++i) crowd.text(1, 0);
     crowd.pull();
     CHECK(crowd.submits.size() > 1);
@@ -322,7 +322,7 @@
 
 TEST_CASE("a clock that jumps between two rounds breaks no rule and stops nothing") {
     Crowd crowd(manySet(64, 500), 100);
-    crowd.how = [&](uint32_t d) { return d % 5 == 0 ? End::full : End::delivered; };
+    crowd.how = [&](uint32_t d) { return d % 5 == 0 ? SubmitStatus::overloaded : SubmitStatus::delivered; };
     for (int i = 0; i < 12; ++i) {
         crowd.go(Span::seconds(1), [&] { crowd.text(crowd.nextText * 31 % 100, 0); });
         crowd.now = crowd.now + Span::seconds(i % 3 == 0 ? 7 : 1);
@@ -331,6 +331,6 @@
     for (uint32_t d = 1; d < 100; d += 5) crowd.text(d, 0);
     crowd.go(Span::seconds(1));
     long open = 0;
-    for (uint32_t t = first; t < crowd.nextText; ++t) open += !crowd.rules.rows.at(TextIx(t)).over;
+    for (uint32_t t = first; t < crowd.nextText; ++t) open += !crowd.rules.rows.at(TextIndex(t)).over;
     CHECK(open == 0);
 }
--- a/tests/simhost_test.cpp
+++ b/tests/simhost_test.cpp
@@ -80,12 +80,12 @@
 namespace {
 
 struct Broken : Sender {
-    void arrived(Instant, const Arrival&) override { throw std::runtime_error("index out of range"); }
-    void ended(Instant, const SubmitEnd&) override {}
-    void withdrawn(Instant, TextIx) override {}
-    void listed(Instant, ListScope, const std::vector<ListEntry>&) override {}
-    void listFailed(Instant) override {}
-    std::optional<Decision> next(Instant) override { return std::nullopt; }
+    void onArrival(Instant, const Arrival&) override { throw std::runtime_error("index out of range"); }
+    void onSubmitResult(Instant, const SubmitResult&) override {}
+    void onWithdrawn(Instant, TextIndex) override {}
+    void onEndpointList(Instant, ListScope, const std::vector<ListEntry>&) override {}
+    void onEndpointListFailed(Instant) override {}
+    std::optional<Decision> nextDecision(Instant) override { return std::nullopt; }
 };
 
 struct BrokenHost : Host {
