--- a/fleet/model.cpp
+++ b/fleet/model.cpp
@@ -363,7 +363,9 @@
         switch (fate.way) {
             case Fate::Way::answer: {
                 bool never = fate.status == 429 || fate.status == 503;
-                SubmitStatus end = fate.status == 200 ? SubmitStatus::delivered : never ? SubmitStatus::overloaded : SubmitStatus::error;
+                SubmitStatus end = fate.status == 200 ? SubmitStatus::delivered
+                                   : never            ? SubmitStatus::overloaded
+                                                      : SubmitStatus::error;
                 return hears(fate.status, never, end, fate.wait);
             }
             case Fate::Way::resetDuring:
@@ -401,7 +403,8 @@
     call->heard = true, --out_;
     Node& n = nodes_[static_cast<size_t>(call->sender)];
     if (n.life != call->life) return;
-    if (end == SubmitStatus::delivered || end == SubmitStatus::overloaded || (end == SubmitStatus::error && call->atPeerOver)) {
+    if (end == SubmitStatus::delivered || end == SubmitStatus::overloaded ||
+        (end == SubmitStatus::error && call->atPeerOver)) {
         n.idle[call->endpoint].push_back(now_ + std::min(world_.idleFor(call->endpoint), parts_.links.idleTimeout));
     }
     for (TextIndex ix : call->texts) {
@@ -409,7 +412,8 @@
         if (found == n.rows.end()) continue;
         Row& row = found->second;
         row.call = nullptr;
-        bool mayRun = end == SubmitStatus::error || end == SubmitStatus::reset || end == SubmitStatus::timeout || end == SubmitStatus::cancelled;
+        bool mayRun = end == SubmitStatus::error || end == SubmitStatus::reset ||
+                      end == SubmitStatus::timeout || end == SubmitStatus::cancelled;
         auto open = n.store.find(row.request);
         if (open != n.store.end()) {
             open->second.out = false;
--- a/src/crew/members.cpp
+++ b/src/crew/members.cpp
@@ -480,7 +480,8 @@
         if (ownOwed_ > 0) --ownOwed_;
     }
     // Whom we doubt hears it from us first, so that it can answer at once.
-    if (MemberIx to = names_.find(m.target); m.kind == Kind::ping && to.isKnown() && entries_[to.value].record.state == State::doubted) {
+    if (MemberIx to = names_.find(m.target); m.kind == Kind::ping && to.isKnown() &&
+                                                 entries_[to.value].record.state == State::doubted) {
         m.records.push_back(entries_[to.value].record);
         room -= roomOf(m.records.back());
     }
--- a/src/index/worth.hpp
+++ b/src/index/revenue.hpp
@@ -8,7 +8,7 @@
 
 namespace petrelpond {
 
-inline double earns(const Product& p, Instant validUntil, Instant at, Decay decay) {
+inline double revenueAt(const Product& p, Instant validUntil, Instant at, Decay decay) {
     double late = (at - (validUntil - p.validity) - p.sla).inSeconds();
     if (at >= validUntil) return 0;
     if (late <= 0) return p.revenue;
--- a/src/index/rota.hpp
+++ b/src/index/round_robin_set.hpp
@@ -8,7 +8,7 @@
 
 namespace petrelpond {
 
-class Rota {
+class RoundRobinSet {
   public:
     bool insert(uint32_t ix) { return set_.insert(ix).second; }
     bool erase(uint32_t ix) { return set_.erase(ix) > 0; }
@@ -16,7 +16,7 @@
     size_t size() const { return set_.size(); }
 
     // Up to so many, in the order of their indices: all where there are no more, else those whose turn it is.
-    void turn(size_t most, std::vector<uint32_t>& into) {
+    void nextBatch(size_t most, std::vector<uint32_t>& into) {
         into.clear();
         if (set_.size() <= most) {
             into.assign(set_.begin(), set_.end());
--- a/src/index/texts.hpp
+++ b/src/index/texts.hpp
@@ -9,24 +9,24 @@
 namespace petrelpond::index {
 
 // What falls due: a look round, a text's last chance of an answer, an idle connection's end.
-enum class Falls { look, text, idle };
-using Due = std::tuple<Instant, Falls, uint32_t>;
+enum class TimerKind { recheck, textExpiry, idleConnection };
+using Timer = std::tuple<Instant, TimerKind, uint32_t>;
 
 struct Text {
     Arrival arrival;
     const Product* product = nullptr;
     Instant firstMayHaveRun = Instant::never(), started;
-    ZoneIndex ranIn;
-    EndpointIndex at;
+    ZoneIndex ranInZone;
+    EndpointIndex endpoint;
     int64_t call = 0;
     int submits = 0;
-    std::list<TextIndex>::iterator spot;  // where it waits
+    std::list<TextIndex>::iterator queuePosition;  // where it waits
     // As an earlier life of the sender left it.
-    void cameBack() {
-        submits = arrival.submits, ranIn = arrival.ranInZone, mayHaveRun = arrival.mayHaveRunSince.has_value();
+    void restoreFromArrival() {
+        submits = arrival.submits, ranInZone = arrival.ranInZone, mayHaveRun = arrival.mayHaveRunSince.has_value();
         firstMayHaveRun = arrival.mayHaveRunSince.value_or(Instant::never());
     }
-    bool queued = false, out = false, over = false, mayHaveRun = false, givenUp = false;
+    bool queued = false, inFlight = false, withdrawn = false, mayHaveRun = false, cancelRequested = false;
 };
 
 struct Call {
--- a/src/logic.cpp
+++ b/src/logic.cpp
@@ -9,129 +9,129 @@
     Text& text = texts_[a.text.value];
     text.arrival = a;
     text.product = a.product.value < products_.size() ? &products_[a.product.value] : nullptr;
-    if (!text.product) return toAnswer_.push_back(a.text);
-    text.cameBack();
-    if (inOrder(text)) order_.taken(*a.key, a.text);
-    if (inOrder(text) && text.mayHaveRun) restKey(now, text);
-    dues_.insert({a.validUntil - lastCall(), Falls::text, a.text.value});
-    queue(now, text), boundBacklog(now, text);
+    if (!text.product) return unsendable_.push_back(a.text);
+    text.restoreFromArrival();
+    if (inOrder(text)) keyOrder_.enqueue(*a.key, a.text);
+    if (inOrder(text) && text.mayHaveRun) holdKey(now, text);
+    timers_.insert({a.validUntil - answerMargin(), TimerKind::textExpiry, a.text.value});
+    enqueue(now, text), limitBacklog(now, text);
 }
 
 void Logic::onSubmitResult(Instant now, const SubmitResult& e) {
     auto found = texts_.find(e.text.value);
-    if (found == texts_.end() || !found->second.out) return;
+    if (found == texts_.end() || !found->second.inFlight) return;
     Text& text = found->second;
-    text.out = false, outTexts_.erase(e.text);
-    noteCall(now, text, e), noteRun(now, text, e.status);
-    touch(text.arrival.destination.value);
-    e.isFinal || text.over ? forget(e.text) : queue(now, text);
-    dropIfGone(e.endpoint.value);
+    text.inFlight = false, textsInFlight_.erase(e.text);
+    recordResult(now, text, e), recordMayHaveRun(now, text, e.status);
+    markReady(text.arrival.destination.value);
+    e.isFinal || text.withdrawn ? removeText(e.text) : enqueue(now, text);
+    removeIfUnused(e.endpoint.value);
 }
 
 void Logic::onWithdrawn(Instant, TextIndex text) {
     auto found = texts_.find(text.value);
     if (found == texts_.end()) return;
-    found->second.over = true, unqueue(found->second);
-    if (!found->second.out) forget(text);
+    found->second.withdrawn = true, dequeue(found->second);
+    if (!found->second.inFlight) removeText(text);
 }
 
 std::optional<Decision> Logic::nextDecision(Instant now) {
-    if (armed_ <= now) armed_ = Instant::never();
-    while (!dues_.empty() && std::get<Instant>(*dues_.begin()) <= now) {
-        auto [at, what, which] = dues_.extract(dues_.begin()).value();
-        if (what == Falls::idle) toClose_.push_back(EndpointIndex(which));
-        if (what == Falls::look) which == kNone ? parking_.releaseAll(Row::key) : touch(which);
-        if (what != Falls::text) continue;
+    if (wakeUpAt_ <= now) wakeUpAt_ = Instant::never();
+    while (!timers_.empty() && std::get<Instant>(*timers_.begin()) <= now) {
+        auto [at, what, which] = timers_.extract(timers_.begin()).value();
+        if (what == TimerKind::idleConnection) toClose_.push_back(EndpointIndex(which));
+        if (what == TimerKind::recheck) which == kNone ? waitQueues_.releaseAll(WaitReason::key) : markReady(which);
+        if (what != TimerKind::textExpiry) continue;
         auto found = texts_.find(which);
-        if (found == texts_.end() || found->second.over || found->second.out) continue;
-        unqueue(found->second), toAnswer_.push_back(TextIndex(which));
+        if (found == texts_.end() || found->second.withdrawn || found->second.inFlight) continue;
+        dequeue(found->second), unsendable_.push_back(TextIndex(which));
     }
-    while (!toAnswer_.empty()) {
-        auto found = texts_.find(toAnswer_.front().value);
-        toAnswer_.pop_front();
-        if (found != texts_.end() && !found->second.out) return answer(now, found->second);
+    while (!unsendable_.empty()) {
+        auto found = texts_.find(unsendable_.front().value);
+        unsendable_.pop_front();
+        if (found != texts_.end() && !found->second.inFlight) return finalAnswer(now, found->second);
     }
-    if (now >= tickAt_) tick(now);
-    if (auto nack = makeRoom(now)) return nack;
-    if (out_.empty() && mayStart_) startCall(now);
-    if (!toAnswer_.empty()) return nextDecision(now);
-    if (!out_.empty()) {
-        Decision d = std::move(out_.front());
-        return out_.pop_front(), d;
+    if (now >= nextTickAt_) tick(now);
+    if (auto nack = evictText(now)) return nack;
+    if (decisions_.empty() && callsAllowed_) startCall(now);
+    if (!unsendable_.empty()) return nextDecision(now);
+    if (!decisions_.empty()) {
+        Decision d = std::move(decisions_.front());
+        return decisions_.pop_front(), d;
     }
     while (!toClose_.empty()) {
         EndpointIndex ix = toClose_.back();
         toClose_.pop_back();
         const Endpoint* e = endpoints_.find(ix.value);
         if (!e) return CloseIdleConnections{ix};  // at rest: silent for long
-        if (!e->out.starts.empty()) continue;
-        Instant end = e->usedAt + sort(*e).idle.span;  // which may have moved on since
+        if (!e->inFlight.starts.empty()) continue;
+        Instant end = e->lastUsedAt + kindState(*e).idle.timeout;  // which may have moved on since
         if (now >= end) return CloseIdleConnections{ix};
-        dues_.insert({end, Falls::idle, ix.value});
+        timers_.insert({end, TimerKind::idleConnection, ix.value});
     }
-    Instant wake = dues_.empty() ? tickAt_ : std::min(tickAt_, std::get<Instant>(*dues_.begin()));
-    if (wake >= armed_) return std::nullopt;
-    return WakeAt{armed_ = wake};
+    Instant wake = timers_.empty() ? nextTickAt_ : std::min(nextTickAt_, std::get<Instant>(*timers_.begin()));
+    if (wake >= wakeUpAt_) return std::nullopt;
+    return WakeAt{wakeUpAt_ = wake};
 }
 
 // Only destinations about which something changed are looked at; what can't go now is parked. Of many
 // that could go so many are compared at a time, in turn (ours): the rest lose a round.
 void Logic::startCall(Instant now) {
-    bool full = room_.maxCalls > 0 && callsOut_ >= room_.maxCalls;
-    if (full) parking_.release(Row::slot, kCompared);
-    bestAt_ = EndpointIndex(), bestScore_ = -1;
-    parking_.row(Row::ready).turn(kCompared, looked_);
-    for (uint32_t ix : looked_) consider(now, ix, full);
-    if (bestAt_.isKnown()) full ? freeSlot(now) : submitCall(now, bestAt_, bestText_);
+    bool full = limits_.maxCalls > 0 && callsInFlight_ >= limits_.maxCalls;
+    if (full) waitQueues_.releaseSome(WaitReason::slot, kMaxDestinations);
+    bestEndpoint_ = EndpointIndex(), bestScore_ = -1;
+    waitQueues_.queue(WaitReason::ready).nextBatch(kMaxDestinations, candidates_);
+    for (uint32_t ix : candidates_) considerDestination(now, ix, full);
+    if (bestEndpoint_.isKnown()) full ? cancelOverdueCall(now) : submitCall(now, bestEndpoint_, bestText_);
 }
 
-void Logic::consider(Instant now, uint32_t ix, bool full) {
+void Logic::considerDestination(Instant now, uint32_t ix, bool full) {
     Destination& d = destination(DestinationIndex(ix));
-    blocked_ = Instant::never(), judge(now, d);
-    double takes = callTime(now, d);
-    if (!full && !slotFor(d, takes)) return park(ix, Row::slot);
+    recheckAt_ = Instant::never(), demoteSlowEndpoints(now, d);
+    double takes = expectedCallTime(now, d);
+    if (!full && !mayTakeSlot(d, takes)) return park(ix, WaitReason::slot);
     // Cut off as the process ends, a call may have run, which loses a once-only text for good.
-    if (now + Span::seconds(2 * takes) > leavesAt_) return park(ix);
-    EndpointIndex at = draw(now, d);
-    at.isKnown() ? offerText(now, d, at, takes) : park(ix);
+    if (now + Span::seconds(2 * takes) > shutdownAt_) return park(ix);
+    EndpointIndex at = drawEndpoint(now, d);
+    at.isKnown() ? offerBestText(now, d, at, takes) : park(ix);
 }
 
 void Logic::submitCall(Instant now, EndpointIndex at, TextIndex firstText) {
     Endpoint& e = endpoints_[at.value];
-    Place& p = places_[e.is.place];
+    LimitGroup& g = groups_[e.core.group];
     int64_t call = nextCall_++;
     std::vector<TextIndex> going = {firstText};
-    for (TextIndex ix : destination(e.is.destination).waiting) {
-        if (static_cast<int>(going.size()) >= std::max(1, sort(e).kind.batch)) break;
+    for (TextIndex ix : destination(e.core.destination).waiting) {
+        if (static_cast<int>(going.size()) >= std::max(1, kindState(e).kind.batch)) break;
         const Text& t = texts_.at(ix.value);
-        if (ix == going.front() || inOrder(t) || !mayGo(t, now, e)) continue;
-        if (p.guard.phase == Phase::down && 2 * t.submits >= room_.maxSubmits) continue;
+        if (ix == going.front() || inOrder(t) || !maySubmitTo(t, now, e)) continue;
+        if (g.outage.phase == Phase::down && 2 * t.submits >= limits_.maxSubmits) continue;
         going.push_back(ix);
     }
     double load = 1 + 0.2 * (static_cast<double>(going.size()) - 1);
-    if (e.out.starts.empty()) e.idleAt = e.usedAt;
+    if (e.inFlight.starts.empty()) e.idleSince = e.lastUsedAt;
     for (TextIndex ix : going) {
         Text& t = texts_.at(ix.value);
-        unqueue(t), outTexts_.insert(ix);
-        if (t.submits > 0 || p.guard.phase == Phase::down) credit_ -= 1;
-        t.at = at, t.started = now, t.call = call, t.out = true, t.givenUp = false, ++t.submits;
-        out_.push_back(Submit{ix, t.at, timeout(now, t, p, load)});
+        dequeue(t), textsInFlight_.insert(ix);
+        if (t.submits > 0 || g.outage.phase == Phase::down) retryCredit_ -= 1;
+        t.endpoint = at, t.started = now, t.call = call, t.inFlight = true, t.cancelRequested = false, ++t.submits;
+        decisions_.push_back(Submit{ix, t.endpoint, timeout(now, t, g, load)});
     }
     calls_[call] = {static_cast<int>(going.size()), 0, load};
-    ++callsOut_, p.out.starts.insert(now), e.out.starts.insert(now);
-    p.bucket.tokens -= p.guard.phase == Phase::returning ? load : 1;
-    if (e.trickle > 0) e.trickleAt = now + chance_.about(Span::seconds(1 / e.trickle));
+    ++callsInFlight_, g.inFlight.starts.insert(now), e.inFlight.starts.insert(now);
+    g.bucket.tokens -= g.outage.phase == Phase::recovering ? load : 1;
+    if (e.probeRate > 0) e.nextProbeAt = now + random_.jittered(Span::seconds(1 / e.probeRate));
 }
 
 void Logic::tick(Instant now) {  // all periodic work
-    tickAt_ = now + Span::millis(250), order_.forgetIdle(now);
-    if (now >= askListAt_) askListAt_ = Instant::never(), out_.push_back(SubscribeToList{});
+    nextTickAt_ = now + Span::millis(250), keyOrder_.eraseIdle(now);
+    if (now >= requestListAt_) requestListAt_ = Instant::never(), decisions_.push_back(SubscribeToList{});
     // Where nothing is delivered at all, so much is tried all the same: all slots once in four seconds.
-    credit_ = std::min(credit_ + mostCredit_ / 16, mostCredit_);
-    parking_.release(Row::pay, static_cast<size_t>(mostCredit_ / 16) + 1);
+    retryCredit_ = std::min(retryCredit_ + maxRetryCredit_ / 16, maxRetryCredit_);
+    waitQueues_.releaseSome(WaitReason::retryCredit, static_cast<size_t>(maxRetryCredit_ / 16) + 1);
     for (size_t n = destinations_.size() / 200 + 1; n > 0 && destinations_.size() > 0; --n)
-        restIfStill(now, static_cast<uint32_t>(sweepAt_++ % destinations_.size()));
-    for (Sort& sort : sorts_) sort.idle.ease();
+        unloadIfIdle(now, static_cast<uint32_t>(sweepIndex_++ % destinations_.size()));
+    for (KindState& kind : kindStates_) kind.idle.relax();
 }
 
 }  // namespace policy
--- a/src/routing/module_actor.cpp
+++ b/src/routing/module_actor.cpp
@@ -164,7 +164,8 @@
     std::string lines;
     for (uint32_t i = 0; i < places_.size(); ++i) {
         if (places_[i].actor) places_[i].actor->holdBack();
-        auto numbers = places_[i].destination.isKnown() ? sender_->exportEndpointState(now, EndpointIndex(i)) : std::vector<double>();
+        auto numbers = places_[i].destination.isKnown() ? sender_->exportEndpointState(now, EndpointIndex(i))
+                                                        : std::vector<double>();
         if (!numbers.empty()) lines += succession::learnedLine(names_.endpoints.name(EndpointIndex(i)), numbers);
     }
     mail.put(lines);
@@ -363,7 +364,8 @@
         std::string before = tells ? sender_->describeEndpoint(now, call.endpoint) : std::string();
         sender_->onSubmitResult(now, e);
         if (teach_ && e.status != SubmitStatus::delivered) {
-            teach_(succession::learnedLine(names_.endpoints.name(call.endpoint), sender_->exportEndpointState(now, call.endpoint)));
+            teach_(succession::learnedLine(names_.endpoints.name(call.endpoint),
+                                           sender_->exportEndpointState(now, call.endpoint)));
         }
         if (tells) tell(now, row, e, call, before);
         if (row.over) drop(call.texts[i]);
@@ -384,7 +386,8 @@
                           std::to_string(static_cast<int>(call.ending)) + " outcome " +
                           std::to_string(static_cast<int>(e.status)) + " took " + ms(now - row.sentAt) +
                           " age " + ms(now - row.cameAt) + " fresh " + std::to_string(call.fresh) + " wait " +
-                          ms(e.retryAfter) + " limit " + share(e.reportedLimit) + " left " + share(e.reportedRemaining) +
+                          ms(e.retryAfter) + " limit " + share(e.reportedLimit) + " left " +
+                          share(e.reportedRemaining) +
                           " believed " + before + " now " + sender_->describeEndpoint(now, call.endpoint));
 }
 
@@ -470,7 +473,8 @@
     sender_->onEndpointList(now, scope, entries);
     // A ban outlasts lists: it binds also one that was gone and is back, before anything is decided on it.
     for (const Member& m : mail.list.members) {
-        if (m.state != ListState::removed && bans_.count(m.id) > 0) sender_->setEndpointDisabled(now, names_.endpoints.find(m.id), true);
+        if (m.state != ListState::removed && bans_.count(m.id) > 0)
+            sender_->setEndpointDisabled(now, names_.endpoints.find(m.id), true);
     }
     for (const ListEntry& e : entries) freeIfGone(e.endpoint);
     for (uint32_t i = 0; mail.list.whole && i < places_.size(); ++i) freeIfGone(EndpointIndex(i));
--- a/src/routing/outcome.hpp
+++ b/src/routing/outcome.hpp
@@ -17,7 +17,8 @@
 inline Outcome outcomeOf(Ending ending, Verdict verdict) {
     switch (ending) {
         case Ending::halfAnswered:
-            return verdict == Verdict::delivered ? Outcome{SubmitStatus::delivered, true} : Outcome{SubmitStatus::error};
+            return verdict == Verdict::delivered ? Outcome{SubmitStatus::delivered, true}
+                                                 : Outcome{SubmitStatus::error};
         case Ending::answered:
             switch (verdict) {
                 case Verdict::delivered:
--- a/system/agent/asking.hpp
+++ b/system/agent/asking.hpp
@@ -2,7 +2,7 @@
 #pragma once
 
 #include "petrelpond/time.hpp"
-#include "src/policy/bucket.hpp"
+#include "src/policy/token_bucket.hpp"
 
 namespace petrelpond::agent {
 
@@ -38,7 +38,7 @@
     bool due(Instant now, bool haveAny, Offer offer) {
         if (!offer.newer) return false;
         if (haveAny) {
-            if (at_ == Instant::never()) at_ = now + Span::seconds(chance_.between(0.2, 0.45));
+            if (at_ == Instant::never()) at_ = now + Span::seconds(chance_.uniform(0.2, 0.45));
             return now >= (offer.near ? at_ : at_ + kOwnZoneFirst);
         }
         if (farFrom_ == Instant::never()) farFrom_ = now + kOwnZoneFirst;
@@ -49,7 +49,7 @@
     void taken() { at_ = Instant::never(); }
 
   private:
-    policy::Chance chance_;
+    policy::Random chance_;
     Instant at_ = Instant::never();
     Instant holdOutUntil_ = Instant::never();
     Instant farFrom_ = Instant::never();  // without any: when a core of another zone is asked
--- a/system/proxy/dispatch.cpp
+++ b/system/proxy/dispatch.cpp
@@ -203,8 +203,8 @@
     if (!silent_ || r.attempts > 0) return false;
     std::erase_if(s.formers, [now](const Former& each) { return now >= each.until; });
     if (s.formers.empty()) return false;
-    if (now >= s.borrowAt && s.bucket.ready(now, 0, chance_)) return true;
-    wakeBy(std::max(s.borrowAt, s.bucket.askAt));
+    if (now >= s.borrowAt && s.bucket.hasToken(now, 0, chance_)) return true;
+    wakeBy(std::max(s.borrowAt, s.bucket.nextTokenAt));
     return false;
 }
 
@@ -369,16 +369,17 @@
 // it had no slot at all, a sender would else let one call a second go, however many slots it was given since.
 void Dispatch::raise(Instant now, Service& s) {
     double rate = slice(s);
-    if (!s.bucket.bound || s.bucket.rate >= rate) return;
-    if (s.bucket.askAt > now) s.bucket.askAt = now + (s.bucket.askAt - now) * (s.bucket.rate / rate);
+    if (!s.bucket.limited || s.bucket.rate >= rate) return;
+    if (s.bucket.nextTokenAt > now)
+        s.bucket.nextTokenAt = now + (s.bucket.nextTokenAt - now) * (s.bucket.rate / rate);
     s.bucket.rate = rate;
 }
 
 // A request is held: the service's concurrency is taken, or its instance boots. From here on the bucket
 // binds.
 void Dispatch::hold(Instant now, Service& s) {
-    bool fresh = !s.bucket.bound;
-    s.bucket.bind(now, slice(s), chance_);
+    bool fresh = !s.bucket.limited;
+    s.bucket.startLimiting(now, slice(s), chance_);
     // The source's bucket starts full: with no call out the first one held owes no wait.
     if (fresh && s.busy == 0) s.bucket.tokens = 1;
     if (!s.wanting || now - s.wantedAt > kUrgentAgain) {
@@ -407,8 +408,8 @@
             }
             return;
         }
-        if (!s.bucket.ready(now, 0, chance_)) return wakeBy(s.bucket.askAt);
-        if (s.bucket.bound) s.bucket.tokens -= 1;
+        if (!s.bucket.hasToken(now, 0, chance_)) return wakeBy(s.bucket.nextTokenAt);
+        if (s.bucket.limited) s.bucket.tokens -= 1;
         unqueue(r);
         send(now, r, *at);
     }
@@ -454,7 +455,7 @@
     Span patience;
     const auto& times = kinds_[r.kind].times;
     if (r.is.repeatable && r.attempts < r.is.maxAttempts && times.count >= 8 && r.last != Ending::silent) {
-        Span cut = Span::seconds(std::max({2.5 * times.high, 1.5 * times.slowest, 0.15}));
+        Span cut = Span::seconds(std::max({2.5 * times.highQuantile, 1.5 * times.slowestDelivered, 0.15}));
         if (now + cut + callTime(s, r) * 2 < r.is.deadline && mayGoFurther(now, s)) patience = cut;
     }
     out_.push_back(SendTo{r.is.id, ix, patience});
@@ -498,11 +499,11 @@
         kind.times.add(took, true);
         kind.mean = kind.mean == 0 ? took.inSeconds() : 0.95 * kind.mean + 0.05 * took.inSeconds();
         s.mean = s.mean == 0 ? took.inSeconds() : 0.9 * s.mean + 0.1 * took.inSeconds();
-        s.bucket.succeeded(now, slice(s), 2 * slice(s), 1);
+        s.bucket.onDelivered(now, slice(s), 2 * slice(s), 1);
     }
     if (how == Ending::notRun) {
         ++counters_.full;
-        s.bucket.refused(now, r.sentAt, slice(s), slice(s), true, chance_);
+        s.bucket.onRejected(now, r.sentAt, slice(s), slice(s), true, chance_);
     }
     if (mayHaveRun(how)) r.mayHaveRun = true;
     InstanceIx at = r.at;
@@ -518,7 +519,7 @@
                 // Somebody else has its slots, or a call that we gave up still runs there.
                 if (i->slots == 0) {
                     ++counters_.borrowedFull;
-                    s.borrowAt = now + Span::seconds(chance_.between(0.1, 0.3));
+                    s.borrowAt = now + Span::seconds(chance_.uniform(0.1, 0.3));
                 }
                 i->restsUntil = std::max(i->restsUntil, now + Span::millis(40));
                 wakeBy(i->restsUntil);
@@ -632,7 +633,7 @@
     Service& s = services_[r.service];
     unqueue(r);
     Span wait = expectedWait(now, s, s.waiting.size() / 2, false);
-    wait = wait + Span::seconds(chance_.between(0.05, 0.25));  // the design's random extra on every wait
+    wait = wait + Span::seconds(chance_.uniform(0.05, 0.25));  // the design's random extra on every wait
     out_.push_back(
         Refuse{r.is.id, 503, std::min(wait, std::max((r.is.deadline - now) * 0.33, Span::millis(50)))});
     close(r);
--- a/system/proxy/dispatch.hpp
+++ b/system/proxy/dispatch.hpp
@@ -19,8 +19,8 @@
 #include <vector>
 
 #include "petrelpond/time.hpp"
-#include "src/policy/bucket.hpp"
-#include "src/policy/times.hpp"
+#include "src/policy/answer_times.hpp"
+#include "src/policy/token_bucket.hpp"
 #include "system/proxy/budget.hpp"
 #include "system/scaler/messages.hpp"
 
@@ -167,7 +167,7 @@
         bool known = false;
         std::vector<InstanceIx> instances;
         std::map<std::pair<int, uint64_t>, RequestId> waiting;  // by priority, then in order
-        policy::Bucket bucket;
+        policy::TokenBucket bucket;
         Budget budget;
         uint32_t promised = 0;  // further sends that were allowed and have not gone out yet
         double mean = 0;        // seconds of a call; 0: none seen
@@ -225,7 +225,7 @@
     void sweep(Instant now);
 
     Options options_;
-    policy::Chance chance_;
+    policy::Random chance_;
     std::vector<Service> services_;
     std::unordered_map<std::string, uint32_t> serviceByName_;
     std::vector<std::unique_ptr<Instance>> instances_;
--- a/system/proxy/proxy.cpp
+++ b/system/proxy/proxy.cpp
@@ -245,7 +245,7 @@
     if (!routes_) {  // without a configuration nothing is known of any route: no 404
         ++notReady_;
         return notRun(Span::millis(300) +
-                      Span::seconds(chance_.between(0.05, 0.25)));  // the design's random extra
+                      Span::seconds(chance_.uniform(0.05, 0.25)));  // the design's random extra
     }
     // Where few senders are left the platform goes on sending here to the end. What could no more be finished
     // before the process is killed is told at once that it has not run. Harm: what would have been quick.
@@ -264,7 +264,7 @@
     // carry is told to come back as well.
     if (bytes_ + request.raw.size() + request.body.size() > mostBytes_) {
         ++tooMuch_;
-        Span wait = Span::millis(200) + Span::seconds(chance_.between(0.05, 0.25));
+        Span wait = Span::millis(200) + Span::seconds(chance_.uniform(0.05, 0.25));
         return visit.answer(503, retryAfter(wait), "", true);
     }
     auto id = request.head.field("X-Attempt-Id");
@@ -282,7 +282,7 @@
     if (to.size() > 1) {
         double sum = 0;
         for (const auto& [name, weight] : to) sum += weight;
-        double at = chance_.between(0, sum);
+        double at = chance_.uniform(0, sum);
         for (const auto& [name, weight] : to) {
             if (weight <= 0) continue;
             a.service = name;
--- a/system/proxy/proxy.hpp
+++ b/system/proxy/proxy.hpp
@@ -99,7 +99,7 @@
     configuration::Settings settings_;
     std::string loopback_;
     Dispatch dispatch_;
-    policy::Chance chance_;
+    policy::Random chance_;
     network::HttpLimits limits_;
     std::unique_ptr<configuration::RouteTable> routes_;
     configuration::HeldText text_;  // of the configuration in routes_
--- a/tests/helpers.hpp
+++ b/tests/helpers.hpp
@@ -90,7 +90,8 @@
     void ended(Instant now, const SubmitResult& e) {
         Row& r = rows.at(e.text);
         bool mayRun =
-            e.status == SubmitStatus::error || e.status == SubmitStatus::timeout || e.status == SubmitStatus::reset || e.status == SubmitStatus::cancelled;
+            e.status == SubmitStatus::error || e.status == SubmitStatus::timeout ||
+            e.status == SubmitStatus::reset || e.status == SubmitStatus::cancelled;
         if (mayRun) r.mayHaveRun.push_back({r.startedAt, *r.out});
         if (mayRun && e.status != SubmitStatus::error && r.arrival.key) {
             rests[*r.arrival.key] = {now + set_.links.keyHoldTime, e.text};
@@ -167,7 +168,8 @@
         return a.text;
     }
     void end(const Submit& s, SubmitStatus how, Span wait = Span()) {
-        SubmitResult e{s.text, s.endpoint, how, how == SubmitStatus::delivered, wait, 0.0, {}, false};  // no limit is reported
+        SubmitResult e{s.text, s.endpoint, how, how == SubmitStatus::delivered,
+                       wait, 0.0, {}, false};  // no limit is reported
         rules.ended(now, e);
         sender->onSubmitResult(now, e);
     }
--- a/tests/scale_test.cpp
+++ b/tests/scale_test.cpp
@@ -1,8 +1,8 @@
 // Many destinations: the indexed structures against plain models, and what the module keeps to at size.
-#include "src/index/calls_out.hpp"
-#include "src/index/parking.hpp"
-#include "src/index/roster.hpp"
-#include "src/index/served.hpp"
+#include "src/index/in_flight.hpp"
+#include "src/index/wait_queues.hpp"
+#include "src/index/endpoint_registry.hpp"
+#include "src/index/delivery_history.hpp"
 #include "tests/helpers.hpp"
 
 using namespace petrelpond;
@@ -10,27 +10,27 @@
 namespace {
 
 struct WholeEndpoint {
-    EndpointSeed is;
+    EndpointCore core;
 };
 struct WholeDestination {
-    DestinationSeed is;
+    DestinationCore core;
     std::vector<uint32_t> endpoints;
 };
-struct PlaceRecord {
-    struct Seed {
+struct GroupRecord {
+    struct Core {
         double listedRate = 0;
-    } is;
+    } core;
 };
 struct EndpointRecord {
-    EndpointSeed is;
-    InFlight out;
+    EndpointCore core;
+    InFlightCalls inFlight;
 };
 // Routes of kind 1 have a place each.
-struct Records : Roster<PlaceRecord, EndpointRecord> {
-    using Roster::destination, Roster::drop, Roster::dropIfGone, Roster::endpoints_, Roster::placeOf,
-        Roster::places_;
+struct Records : EndpointRegistry<GroupRecord, EndpointRecord> {
+    using EndpointRegistry::destination, EndpointRegistry::forgetDestination, EndpointRegistry::removeIfUnused, EndpointRegistry::endpoints_, EndpointRegistry::groupOf,
+        EndpointRegistry::groups_;
     void tell(ListScope scope, const std::vector<ListEntry>& entries) {
-        list(scope, entries, true, [](KindIndex kind) { return kind == KindIndex(1u); });
+        applyList(scope, entries, true, [](KindIndex kind) { return kind == KindIndex(1u); });
     }
 };
 
@@ -110,32 +110,32 @@
 
 TEST_CASE("parked: in one row at most; of many all get their turn") {
     std::mt19937 chance(4);
-    Parking parking;
-    std::map<uint32_t, Row> model;
+    WaitQueues queues;
+    std::map<uint32_t, WaitReason> model;
     std::vector<uint32_t> turn;
     for (int i = 0; i < 5000; ++i) {
         uint32_t ix = chance() % 300;
-        auto row = static_cast<Row>(chance() % 5);
-        parking.park(ix, row);
+        auto row = static_cast<WaitReason>(chance() % 5);
+        queues.park(ix, row);
         model[ix] = row;
         if (i % 500 == 0) {
-            parking.releaseAll(Row::key);
-            for (auto& [k, r] : model) r = r == Row::key ? Row::ready : r;
+            queues.releaseAll(WaitReason::key);
+            for (auto& [k, r] : model) r = r == WaitReason::key ? WaitReason::ready : r;
         }
     }
-    for (Row row : {Row::ready, Row::slot, Row::pay, Row::key}) {
+    for (WaitReason row : {WaitReason::ready, WaitReason::slot, WaitReason::retryCredit, WaitReason::key}) {
         std::vector<uint32_t> want;
         for (auto& [k, r] : model) {
             if (r == row) want.push_back(k);
         }
-        parking.row(row).turn(1000, turn);
+        queues.queue(row).nextBatch(1000, turn);
         CHECK(turn == want);
     }
-    Rota rota;
-    for (uint32_t i = 0; i < 1000; ++i) rota.insert(3 * i);
+    RoundRobinSet set;
+    for (uint32_t i = 0; i < 1000; ++i) set.insert(3 * i);
     std::set<uint32_t> met;
     for (int i = 0; i < 16; ++i) {
-        rota.turn(64, turn);
+        set.nextBatch(64, turn);
         CHECK(turn.size() == 64);
         met.insert(turn.begin(), turn.end());
     }
@@ -148,39 +148,39 @@
     };
     Records all;
     all.tell(ListScope::complete, {entry(0, 0, 0), entry(1, 0, 0), entry(2, 1, 1), entry(3, 1, 1)});
-    CHECK(all.placeOf(EndpointIndex(0u)) == all.placeOf(EndpointIndex(1u)));
-    CHECK(all.placeOf(EndpointIndex(2u)) != all.placeOf(EndpointIndex(3u)));
-    CHECK(all.places_.seed(all.placeOf(EndpointIndex(3u))).listedRate == 5);
+    CHECK(all.groupOf(EndpointIndex(0u)) == all.groupOf(EndpointIndex(1u)));
+    CHECK(all.groupOf(EndpointIndex(2u)) != all.groupOf(EndpointIndex(3u)));
+    CHECK(all.groups_.core(all.groupOf(EndpointIndex(3u))).listedRate == 5);
     CHECK(all.destination(DestinationIndex(1u)).endpoints == std::vector<uint32_t>{2, 3});
 
     // Gone with a call out it is kept until that is back; a whole list that does not name it says the same.
-    all.endpoints_[2].out.starts.insert(Instant());
+    all.endpoints_[2].inFlight.starts.insert(Instant());
     all.tell(ListScope::complete, {entry(0, 0, 0), entry(3, 1, 1)});
     CHECK(all.destination(DestinationIndex(0u)).endpoints == std::vector<uint32_t>{0});
     CHECK(all.destination(DestinationIndex(1u)).endpoints == std::vector<uint32_t>{2, 3});
-    uint32_t freed = all.placeOf(EndpointIndex(2u));
-    all.endpoints_[2].out.starts.clear(), all.dropIfGone(2);
+    uint32_t freed = all.groupOf(EndpointIndex(2u));
+    all.endpoints_[2].inFlight.starts.clear(), all.removeIfUnused(2);
     CHECK(all.destination(DestinationIndex(1u)).endpoints == std::vector<uint32_t>{3});
-    CHECK(all.places_.seed(freed).listedRate == 0);
+    CHECK(all.groups_.core(freed).listedRate == 0);
     all.tell(ListScope::changes, {entry(4, 2, 0)});
-    CHECK(all.placeOf(EndpointIndex(4u)) == freed);
+    CHECK(all.groupOf(EndpointIndex(4u)) == freed);
 
     // A list that is old takes nothing off for good.
     all.tell(ListScope::cached, {entry(3, 1, 1)});
-    CHECK(!all.endpoints_.seed(0).usable());
+    CHECK(!all.endpoints_.core(0).usable());
     CHECK(all.destination(DestinationIndex(0u)).endpoints == std::vector<uint32_t>{0});
-    all.tell(ListScope::changes, {entry(4, 2, 0, ListState::removed)}), all.drop(DestinationIndex(2u));
+    all.tell(ListScope::changes, {entry(4, 2, 0, ListState::removed)}), all.forgetDestination(DestinationIndex(2u));
     all.tell(ListScope::changes, {entry(5, 3, 0)});
-    CHECK(all.placeOf(EndpointIndex(5u)) == freed);
+    CHECK(all.groupOf(EndpointIndex(5u)) == freed);
 }
 
 TEST_CASE("the roster's chains are the lists that they stand for") {
     std::mt19937 chance(5);
-    Lazy<WholeEndpoint, EndpointSeed> endpoints;
-    Lazy<WholeDestination, DestinationSeed> destinations;
+    LazyTable<WholeEndpoint, EndpointCore> endpoints;
+    LazyTable<WholeDestination, DestinationCore> destinations;
     std::map<uint32_t, std::vector<uint32_t>> model;
     std::map<uint32_t, uint32_t> home;
-    destinations.cover(19);
+    destinations.ensureSize(19);
     for (int i = 0; i < 5000; ++i) {
         uint32_t e = chance() % 200, d = chance() % 20;
         if (auto at = home.find(e); at != home.end()) {
@@ -192,24 +192,24 @@
             model[d].push_back(e), home[e] = d;
         }
         if (chance() % 10 == 0)
-            destinations[d].endpoints = endpointsFrom(endpoints, destinations.seed(d).first);
-        if (chance() % 10 == 0) destinations.rest(d);
-        CHECK(endpointsFrom(endpoints, destinations.seed(d).first) == model[d]);
+            destinations[d].endpoints = endpointChain(endpoints, destinations.core(d).first);
+        if (chance() % 10 == 0) destinations.unload(d);
+        CHECK(endpointChain(endpoints, destinations.core(d).first) == model[d]);
         if (const auto* whole = destinations.find(d)) CHECK(whole->endpoints == model[d]);
     }
 }
 
 TEST_CASE("rates served: as counted one by one") {
     std::mt19937 chance(6);
-    Served served;
+    DeliveryHistory history;
     std::vector<Instant> all;
     Instant now = Instant::atMicros(0);
     for (int i = 0; i < 3000; ++i) {
         now = now + Span::millis(chance() % 60);
-        if (chance() % 3 > 0) served.add(now), all.push_back(now);
+        if (chance() % 3 > 0) history.add(now), all.push_back(now);
         for (Span over : {Span::seconds(2), Span::seconds(20)}) {
             auto within = std::count_if(all.begin(), all.end(), [&](Instant at) { return now - at <= over; });
-            CHECK(served.rate(now, over) == Approx(static_cast<double>(within) / over.inSeconds()));
+            CHECK(history.rate(now, over) == Approx(static_cast<double>(within) / over.inSeconds()));
         }
     }
 }
