--- a/system/consensus/claims_test.cpp
+++ b/system/consensus/claims_test.cpp
@@ -5,7 +5,7 @@
 #include <map>
 #include <random>
 
-#include "system/consensus/sim_for_test.hpp"
+#include "system/consensus/world_for_test.hpp"
 
 namespace petrelpond::consensus {
 namespace {
@@ -15,7 +15,7 @@
 // are done.
 std::string manyVersionsWithoutAMajority(uint32_t seed, Defect defect = Defect::none) {
     sim::Plan plan{seed, 3, 1, defect, false, 25, true};
-    plan.spans = true;
+    plan.serviceTimings = true;
     sim::World world(plan);
     world.loss_ = 0;
     world.at(sim::World::millis(6000), [&world] {
@@ -26,7 +26,7 @@
     });
     for (int i = 0; i < 100; ++i) {
         world.at(sim::World::millis(7000 + 100 * i),
-                 [&world] { world.writeAt(0, world.textOf(++world.version_)); });
+                 [&world] { world.writeAt(0, world.randomValue(++world.version_)); });
     }
     world.at(sim::World::millis(18000), [&world] { world.start(2, false); });
     return world.run();
@@ -39,7 +39,7 @@
 TEST(Claims, AnAcceptorThatRefusesOnceItsListIsFullIsCaught) {
     std::string broken;
     for (uint32_t seed = 1; broken.empty() && seed <= 10; ++seed)
-        broken = manyVersionsWithoutAMajority(seed, Defect::refusesWhenFull);
+        broken = manyVersionsWithoutAMajority(seed, Defect::refusesClaimsWhenFull);
     EXPECT_EQ(broken, "no writes done after all has healed");
 }
 
--- a/system/consensus/cluster_for_test.hpp
+++ b/system/consensus/cluster_for_test.hpp
@@ -26,12 +26,12 @@
     double seconds = 25;  // of faults; then all heals and must work
     bool clients = true;
     int spares = 0;  // cores that start later, and may come onto the voters
-    bool bareSeeds =
+    bool losesSeedDisks =
         false;  // two seeds may lose their disks before there is a set of voters: no work asked for then
-    bool cornered = false;      // all but the holder start anew, while nobody hears it
-    bool spans = false;         // the spans of the program in service, instead of the longer default ones
-    bool clocks = false;        // differing clocks, without faults of World's own
-    bool diskTroubles = false;  // of Losses: now and then a disk refuses writes or hangs, which is no loss
+    bool isolatesHolder = false;   // all but the holder start anew, while nobody hears it
+    bool serviceTimings = false;   // the spans of the program in service, instead of the longer default ones
+    bool differingClocks = false;  // differing clocks, without faults of World's own
+    bool diskFaults = false;       // of Losses: now and then a disk refuses writes or hangs, which is no loss
 };
 
 class Cluster : public simulation::Simulation {
@@ -40,9 +40,9 @@
         for (int i = 0; i < plan_.cores + plan_.spares; ++i) {
             nodes_.push_back(Node{"10.0.0." + std::to_string(i + 1)});
             // Clocks differ in what they show, and by up to a sixteenth in how fast they go.
-            if (!plan_.faults && !plan_.clocks) continue;
-            nodes_.back().clockAhead = below(millis(100000));
-            nodes_.back().clockFaster = static_cast<double>(below(62500)) / 1e6;
+            if (!plan_.faults && !plan_.differingClocks) continue;
+            nodes_.back().clockOffset = below(millis(100000));
+            nodes_.back().clockDrift = static_cast<double>(below(62500)) / 1e6;
         }
     }
 
@@ -53,28 +53,29 @@
         NodeId id;
         std::unique_ptr<Core> core = nullptr;
         int life = 0;
-        std::optional<Durable> disk = std::nullopt;
-        int64_t clockAhead = 0;
-        double clockFaster = 0;
-        std::vector<Save> unsynced = {};
+        std::optional<DurableState> disk = std::nullopt;
+        int64_t clockOffset = 0;
+        double clockDrift = 0;
+        std::vector<SaveRequest> unsynced = {};
         int64_t frozenUntil = 0;
         int64_t wakeSet = -1;
-        bool diskSick = false;       // refuses writes
-        int64_t diskHangsUntil = 0;  // writes are done then, and not before
-        bool wiped = false;          // lost its disk and has not yet rebuilt it
-        bool gone = false;           // for good, or not here yet
+        bool diskRefusesWrites = false;  // refuses writes
+        int64_t diskHangsUntil = 0;      // writes are done then, and not before
+        bool diskLost = false;           // lost its disk and has not yet rebuilt it
+        bool removed = false;            // for good, or not here yet
         int64_t wipedAt = 0;
-        std::map<uint64_t, std::pair<bool, Value>> asked = {};  // ticket: reading?, what must be reached
+        std::map<uint64_t, std::pair<bool, Value>> pendingTickets =
+            {};  // ticket: reading?, what must be reached
     };
     // What the machine's clock shows, and what is left until it shows something.
     Instant clock(size_t i) const {
         const Node& n = nodes_[i];
-        const auto run = static_cast<int64_t>(static_cast<double>(now_) * (1 + n.clockFaster));
-        return Instant::atMicros(n.clockAhead + run);
+        const auto run = static_cast<int64_t>(static_cast<double>(now_) * (1 + n.clockDrift));
+        return Instant::atMicros(n.clockOffset + run);
     }
     int64_t until(size_t i, Instant shown) const {
         const double left = static_cast<double>((shown - clock(i)).inMicros());
-        return static_cast<int64_t>(left / (1 + nodes_[i].clockFaster)) + 1;
+        return static_cast<int64_t>(left / (1 + nodes_[i].clockDrift)) + 1;
     }
     static bool contains(const std::vector<NodeId>& all, const NodeId& n) {
         return std::find(all.begin(), all.end(), n) != all.end();
@@ -83,30 +84,31 @@
     // Those of the first start, or, where machines are replaced, three that are there as the settings are
     // written.
     std::vector<NodeId> seedsFor(size_t i) {
-        if (const auto given = seedsOf_.find(i); given != seedsOf_.end()) return given->second;
+        if (const auto given = seedOverrides_.find(i); given != seedOverrides_.end()) return given->second;
         std::vector<NodeId> seeds;
-        if (!losses_ || now_ < millis(3000)) {
+        if (!beginLosses_ || now_ < millis(3000)) {
             for (size_t s = 0; s < std::min<size_t>(3, static_cast<size_t>(plan_.cores)); ++s)
                 seeds.push_back(nodes_[s].id);
             return seeds;
         }
         for (size_t s = 0; s < nodes_.size(); ++s)
-            if (s != i && !nodes_[s].gone) seeds.push_back(nodes_[s].id);
+            if (s != i && !nodes_[s].removed) seeds.push_back(nodes_[s].id);
         std::shuffle(seeds.begin(), seeds.end(), random_);
         seeds.resize(std::min<size_t>(seeds.size(), 3));
         return seeds;
     }
     void start(size_t i, bool first) {
         Node& n = nodes_[i];
-        if (n.core || n.gone) return;
+        if (n.core || n.removed) return;
         Options o;
         o.self = n.id;
         o.seeds = seedsFor(i);
         o.bootstrap = first;
         o.machineLosses = plan_.losses;
-        o.chance = random_();
+        o.randomSeed = random_();
         o.defect = plan_.defect;
-        if (plan_.spans) o.beat = Span::millis(150), o.leaseTime = Span::millis(700);
+        if (plan_.serviceTimings)
+            o.heartbeatInterval = Span::millis(150), o.leaseDuration = Span::millis(700);
         ++n.life;
         n.frozenUntil = 0;
         n.wakeSet = -1;
@@ -118,15 +120,15 @@
         if (!n.core) return;
         n.core.reset();
         ++n.life;
-        n.asked.clear();
+        n.pendingTickets.clear();
         n.unsynced.clear();
     }
     // Runs f in the core's process, after a freeze if it is frozen.
-    void in(size_t i, int life, std::function<void(Core&)> f) {
+    void runOn(size_t i, int life, std::function<void(Core&)> f) {
         Node& n = nodes_[i];
         if (n.life != life || !n.core) return;
         if (now_ < n.frozenUntil) {
-            at(n.frozenUntil - now_ + below(2000), [this, i, life, f = std::move(f)] { in(i, life, f); });
+            at(n.frozenUntil - now_ + below(2000), [this, i, life, f = std::move(f)] { runOn(i, life, f); });
             return;
         }
         f(*n.core);
@@ -134,22 +136,22 @@
     }
     void drain(size_t i) {
         Node& n = nodes_[i];
-        while (auto o = n.core->next()) {
-            if (auto* s = std::get_if<Send>(&*o)) deliver(i, *s);
-            if (auto* s = std::get_if<Save>(&*o)) store(i, std::move(*s));
-            if (auto* a = std::get_if<Answer>(&*o)) answered(i, *a);
-            if (auto* d = std::get_if<Duty>(&*o)) dutyChanged(i, *d);
+        while (auto o = n.core->nextOutput()) {
+            if (auto* s = std::get_if<SendRequest>(&*o)) deliver(i, *s);
+            if (auto* s = std::get_if<SaveRequest>(&*o)) store(i, std::move(*s));
+            if (auto* a = std::get_if<OperationResult>(&*o)) answered(i, *a);
+            if (auto* d = std::get_if<Lease>(&*o)) leaseChanged(i, *d);
         }
         stateChanged(i);
-        if (n.wiped && !n.core->recovering() && n.disk && !n.disk->recovering) n.wiped = false;
-        const Instant wanted = n.core->wakeAt();
+        if (n.diskLost && !n.core->isRecovering() && n.disk && !n.disk->recovering) n.diskLost = false;
+        const Instant wanted = n.core->nextWakeup();
         const bool near = wanted - clock(i) < Span::seconds(3600);
         const int64_t wake = now_ + (near ? std::max<int64_t>(1, until(i, wanted)) : millis(3600000));
         if (n.wakeSet > now_ && n.wakeSet <= wake) return;
         n.wakeSet = wake;
         at(wake - now_, [this, i, life = n.life, wake] {
             if (nodes_[i].life != life || nodes_[i].wakeSet != wake) return;
-            in(i, life, [this, i](Core& c) {
+            runOn(i, life, [this, i](Core& c) {
                 nodes_[i].wakeSet = -1;
                 c.tick(clock(i));
             });
@@ -157,18 +159,18 @@
     }
     // Far more than any schedule sends that gets on: the most seen was 24, with three writers ten times a
     // second.
-    static constexpr int64_t kMostSendsASecondAndPair = 100;
-    void boundSends() {
+    static constexpr int64_t kMaxSendsPerSecondAndPair = 100;
+    void limitSends() {
         const auto pairs = static_cast<int64_t>(nodes_.size() * nodes_.size());
         const int64_t seconds = 10 + now_ / 1000000;
-        if (++sends_ > kMostSendsASecondAndPair * pairs * seconds) fail("messages multiply");
+        if (++sends_ > kMaxSendsPerSecondAndPair * pairs * seconds) fail("messages multiply");
     }
-    void deliver(size_t from, const Send& s) {
-        boundSends();
+    void deliver(size_t from, const SendRequest& s) {
+        limitSends();
         size_t to = 0;
         while (to < nodes_.size() && nodes_[to].id != s.to) ++to;
         if (to == nodes_.size() || cut_.count({from, to})) return;
-        if (drops_ && drops_(from, to, s.message)) return;
+        if (dropMessage_ && dropMessage_(from, to, s.message)) return;
         if (chance(loss_)) return;
         const int copies = chance(loss_ / 2) ? 2 : 1;
         const auto message = std::make_shared<const Message>(s.message);
@@ -177,12 +179,13 @@
             if (chance(loss_)) delay += below(millis(chance(0.2) ? 4000 : 600));
             at(delay, [this, from, to, message] {
                 if (cut_.count({from, to})) return;
-                in(to, nodes_[to].life,
-                   [this, from, to, message](Core& c) { c.heard(clock(to), nodes_[from].id, *message); });
+                runOn(to, nodes_[to].life, [this, from, to, message](Core& c) {
+                    c.receive(clock(to), nodes_[from].id, *message);
+                });
             });
         }
     }
-    void store(size_t i, Save save) {
+    void store(size_t i, SaveRequest save) {
         Node& n = nodes_[i];
         n.unsynced.push_back(std::move(save));
         const uint64_t token = n.unsynced.back().token;
@@ -192,11 +195,11 @@
         at(delay, [this, i, token, life = n.life] {
             Node& m = nodes_[i];
             if (m.life != life || !m.core) return;
-            if (m.diskSick) {
-                in(i, life, [this, i, token](Core& c) { c.saveFailed(clock(i), token); });
+            if (m.diskRefusesWrites) {
+                runOn(i, life, [this, i, token](Core& c) { c.handleSaveFailure(clock(i), token); });
                 return;
             }
-            for (Save& s : m.unsynced) {
+            for (SaveRequest& s : m.unsynced) {
                 if (s.token != token) continue;
                 const bool older = m.disk && !m.unsynced.empty() && s.token < syncedToken_[i];
                 if (!older) {
@@ -204,8 +207,8 @@
                     syncedToken_[i] = s.token;
                 }
             }
-            std::erase_if(m.unsynced, [&](const Save& s) { return s.token <= token; });
-            in(i, life, [this, i, token](Core& c) { c.saved(clock(i), token); });
+            std::erase_if(m.unsynced, [&](const SaveRequest& s) { return s.token <= token; });
+            runOn(i, life, [this, i, token](Core& c) { c.handleSaved(clock(i), token); });
         });
         if (n.life != lifeOfToken_[i]) {
             lifeOfToken_[i] = n.life;
@@ -217,14 +220,15 @@
     std::vector<Node> nodes_;
     double loss_ = 0.02;                       // share of messages
     std::set<std::pair<size_t, size_t>> cut_;  // from, to
-    std::function<void()> losses_;  // begins a schedule of losses from outside; see losses_for_test.hpp
-    std::map<size_t, std::vector<NodeId>> seedsOf_;              // as a test wants them
-    std::function<bool(size_t, size_t, const Message&)> drops_;  // messages that a test loses on purpose
+    std::function<void()> beginLosses_;  // begins a schedule of losses from outside; see losses_for_test.hpp
+    std::map<size_t, std::vector<NodeId>> seedOverrides_;  // as a test wants them
+    std::function<bool(size_t, size_t, const Message&)>
+        dropMessage_;  // messages that a test loses on purpose
     long sends_ = 0;
 
   protected:
-    virtual void answered(size_t i, const Answer&) = 0;
-    virtual void dutyChanged(size_t i, const Duty&) = 0;
+    virtual void answered(size_t i, const OperationResult&) = 0;
+    virtual void leaseChanged(size_t i, const Lease&) = 0;
     virtual void stateChanged(size_t i) = 0;  // after every input of that core
 
   private:
--- a/system/consensus/core_parts.hpp
+++ b/system/consensus/core_internal.hpp
@@ -13,27 +13,27 @@
 // A core that is no voter is forgotten after so long a silence, else each replaced machine would be tried for
 // ever; and others are told of it for half of that, so that it is not learned again from one that forgets it
 // later. Harm: one that was away for longer has to say hello itself.
-inline const Span kForgetPeer = Span::seconds(120);
-inline const Span kTellOfPeer = Span::seconds(60);
+inline const Span kForgetPeerAfter = Span::seconds(120);
+inline const Span kAnnouncePeerFor = Span::seconds(60);
 
 // In heartbeats. A change of the voters is rare and is waited for by a member that leaves, so what is lost of
 // it is sent again soon.
-constexpr double kRetryAfter = 0.4;
-constexpr double kAnswersWithin = 3;
+constexpr double kRetryHeartbeats = 0.4;
+constexpr double kReachableHeartbeats = 3;
 
-inline const NodeId nobody = "-";  // a vote that is used up and went to no one
+inline const NodeId kNoCandidate = "-";  // a vote that is used up and went to no one
 
-inline Mark markOf(const std::shared_ptr<const Value>& v) {
-    return v ? Mark{v->version, v->ballot, v->digest} : Mark{};
+inline ValueHeader headerOf(const std::shared_ptr<const Value>& v) {
+    return v ? ValueHeader{v->version, v->ballot, v->digest} : ValueHeader{};
 }
 
-inline bool sameText(const Mark& a, const Mark& b) {
+inline bool isSameContent(const ValueHeader& a, const ValueHeader& b) {
     return a.version == b.version && a.digest == b.digest && a.version > 0;
 }
 
 // Whether a disk holds the text that is known to be chosen, or a higher version.
-inline bool reaches(const Mark& disk, const Mark& chosen) {
-    return disk.version > chosen.version || chosen.version == 0 || sameText(disk, chosen);
+inline bool holdsAtLeast(const ValueHeader& disk, const ValueHeader& chosen) {
+    return disk.version > chosen.version || chosen.version == 0 || isSameContent(disk, chosen);
 }
 
 inline void sortUnique(std::vector<NodeId>& nodes) {
@@ -46,19 +46,19 @@
 }
 
 // A machine together with the disk that is meant, as it is written in offers of a set of voters.
-inline std::string born(const NodeId& n, uint64_t birth) { return n + "#" + std::to_string(birth); }
+inline std::string withDiskId(const NodeId& n, uint64_t diskId) { return n + "#" + std::to_string(diskId); }
 
-// How long a ballot for the duty may gather votes, at most. Shorter than `leaseTime`, so that what it wins
-// still has some validity, and over before a voter that lost its disk votes again.
-inline Span ballotTime(const Options& o) { return o.leaseTime * 0.5; }
+// How long a ballot for the duty may gather votes, at most. Shorter than `leaseDuration`, so that what it
+// wins still has some validity, and over before a voter that lost its disk votes again.
+inline Span electionTimeout(const Options& o) { return o.leaseDuration * 0.5; }
 
 // What a core that lost its disk waits for before it asks the others, and why it may then take part again.
 //
 // Claim: what a majority has promised is still promised by a majority, however many disks are lost.
 //  - All that counts somebody's answers (a write, a read, a vote, a beat, a ballot on the voters) ends at
 //  the
-//    latest `operationTimeout` or `leaseTime` after it began, by the clock of who counts. An answer that this
-//    core gave in its earlier life belongs to something begun before the loss; after the wait below (a
+//    latest `operationTimeout` or `leaseDuration` after it began, by the clock of who counts. An answer that
+//    this core gave in its earlier life belongs to something begun before the loss; after the wait below (a
 //    quarter more than either, for clocks of different rates) it counts nowhere any more: either it is done,
 //    or it never will be done with that answer.
 //  - Only then do we ask. A majority Q of the voters, not counting us and nobody who still recovers, answers.
@@ -74,6 +74,6 @@
 // voters are not known: but that alone makes us an elector (`elects`), no member. A value is only ever saved
 // together with the voters, so those who hold a value know the voters. Once it is known the agreement is
 // never run again. It harms by its length: 1.5 s in which a returned machine counts nowhere.
-inline Span recoverWait(const Options& o) { return std::max(o.operationTimeout, o.leaseTime) * 1.25; }
+inline Span recoveryDelay(const Options& o) { return std::max(o.operationTimeout, o.leaseDuration) * 1.25; }
 
 }  // namespace petrelpond::consensus
--- a/system/consensus/core_search_test.cpp
+++ b/system/consensus/core_search_test.cpp
@@ -7,7 +7,7 @@
 #include <cstdlib>
 #include <iostream>
 
-#include "system/consensus/sim_for_test.hpp"
+#include "system/consensus/world_for_test.hpp"
 #include "system/network/environment_for_test.hpp"
 
 namespace petrelpond::consensus {
@@ -23,41 +23,41 @@
 TEST(CoreSearch, NoScheduleBreaksAnInvariant) {
     const uint32_t begin = numberFromEnvironment("CONSENSUS_FIRST", 1),
                    count = numberFromEnvironment("CONSENSUS_SCHEDULES", 300);
-    int writes = 0, reads = 0, terms = 0, wipes = 0, conflicts = 0;
+    int writes = 0, reads = 0, terms = 0, disksLost = 0, conflicts = 0;
     for (uint32_t seed = begin; seed < begin + count; ++seed) {
         sim::World world(planOf(seed, Defect::none));
         EXPECT_EQ(world.run(), "") << "seed " << seed;
         writes += world.doneWrites();
         reads += world.doneReads();
         terms += world.terms();
-        wipes += world.wipes();
+        disksLost += world.disksLost();
         conflicts += world.conflicts();
     }
     // The search is worth nothing if nothing happens in it.
     EXPECT_GT(writes, static_cast<int>(count) * 50);
     EXPECT_GT(reads, static_cast<int>(count) * 50);
     EXPECT_GT(terms, static_cast<int>(count) * 3);
-    EXPECT_GT(wipes, static_cast<int>(count));
+    EXPECT_GT(disksLost, static_cast<int>(count));
     EXPECT_GT(conflicts, static_cast<int>(count));
     std::cout << count << " schedules: " << writes << " writes, " << conflicts << " conflicts, " << reads
-              << " reads, " << wipes << " lost disks\n";
+              << " reads, " << disksLost << " lost disks\n";
 }
 
 // Whom a promise binds to after a restart only shows where the holder lives on unheard.
-TEST(CoreSearch, NoScheduleWithACorneredHolderBreaksAnInvariant) {
+TEST(CoreSearch, NoScheduleWithAnIsolatedHolderBreaksAnInvariant) {
     const uint32_t begin = numberFromEnvironment("CONSENSUS_FIRST", 1),
                    count = numberFromEnvironment("CONSENSUS_SCHEDULES", 100);
     for (uint32_t seed = begin; seed < begin + count; ++seed) {
         sim::Plan plan = planOf(seed, Defect::none);
-        plan.cornered = true;
+        plan.isolatesHolder = true;
         EXPECT_EQ(sim::World(plan).run(), "") << "seed " << seed;
     }
 }
 
-int schedulesUntilCaught(Defect defect, int most, bool cornered = false) {
+int schedulesUntilDetected(Defect defect, int most, bool isolatesHolder = false) {
     for (int seed = 1; seed <= most; ++seed) {
         sim::Plan plan = planOf(static_cast<uint32_t>(seed), defect);
-        plan.cornered = cornered;
+        plan.isolatesHolder = isolatesHolder;
         const std::string broken = sim::World(plan).run();
         if (broken.empty()) continue;
         std::cout << "caught by schedule " << broken << "\n";
@@ -66,80 +66,78 @@
     return -1;
 }
 
-sim::Plan changing(uint32_t seed, Defect defect) {
+sim::Plan planWithVotersChanges(uint32_t seed, Defect defect) {
     static const std::pair<int, int> shapes[] = {{3, 1}, {5, 1}, {5, 2}, {3, 1}};
     const auto [cores, losses] = shapes[seed % 4];
     return {seed, cores, losses, defect, true, 40, true, 2};
 }
 
-TEST(CoreSearch, NoScheduleBreaksAnInvariantWhileTheVotersChanges) {
+TEST(CoreSearch, NoScheduleWithVotersChangesBreaksAnInvariant) {
     const uint32_t begin = numberFromEnvironment("CONSENSUS_FIRST", 1);
     const uint32_t count = numberFromEnvironment("CONSENSUS_SCHEDULES", 200);
-    int writes = 0, changes = 0, wipes = 0;
+    int writes = 0, changes = 0, disksLost = 0;
     for (uint32_t seed = begin; seed < begin + count; ++seed) {
-        sim::World world(changing(seed, Defect::none));
+        sim::World world(planWithVotersChanges(seed, Defect::none));
         EXPECT_EQ(world.run(), "") << "seed " << seed;
         writes += world.doneWrites();
         changes += world.changes();
-        wipes += world.wipes();
+        disksLost += world.disksLost();
     }
     EXPECT_GT(writes, static_cast<int>(count) * 50);
     EXPECT_GT(changes, static_cast<int>(count) * 2);
-    EXPECT_GT(wipes, static_cast<int>(count));
-    std::cout << count << " schedules: " << writes << " writes, " << changes << " changes, " << wipes
+    EXPECT_GT(disksLost, static_cast<int>(count));
+    std::cout << count << " schedules: " << writes << " writes, " << changes << " changes, " << disksLost
               << " lost disks\n";
 }
 
-int changesUntilCaught(Defect defect, int most) {
+int votersChangesUntilDetected(Defect defect, int most) {
     for (int seed = 1; seed <= most; ++seed) {
-        if (sim::World(changing(static_cast<uint32_t>(seed), defect)).run().empty()) continue;
+        if (sim::World(planWithVotersChanges(static_cast<uint32_t>(seed), defect)).run().empty()) continue;
         std::cout << "caught at schedule " << seed << "\n";
         return seed;
     }
     return -1;
 }
-TEST(CoreSearch, TheVotersThatTakesNothingOverIsCaught) {
-    EXPECT_GT(changesUntilCaught(Defect::hastyEntry, 400), 0);
+TEST(CoreSearch, CatchesVotersThatSkipTheTakeover) {
+    EXPECT_GT(votersChangesUntilDetected(Defect::skipsTakeover, 400), 0);
 }
-TEST(CoreSearch, AnEmptyDiskThatTakesOverFromTheFormerVotersIsCaught) {
-    EXPECT_GT(changesUntilCaught(Defect::emptyEnters, 600), 0);
+TEST(CoreSearch, CatchesAnEmptyDiskThatTakesOver) {
+    EXPECT_GT(votersChangesUntilDetected(Defect::emptyDiskTakesOver, 600), 0);
 }
-TEST(CoreSearch, AnAmnesiacThatTakesPartAtOnceIsCaught) {
-    EXPECT_GT(schedulesUntilCaught(Defect::hastyAmnesiac, 100), 0);
+TEST(CoreSearch, CatchesACoreThatSkipsRecovery) {
+    EXPECT_GT(schedulesUntilDetected(Defect::skipsRecovery, 100), 0);
 }
-TEST(CoreSearch, AMemberThatForgetsItsPromisesAsItTellsIsCaught) {
-    EXPECT_GT(schedulesUntilCaught(Defect::tellsNothing, 300), 0);
+TEST(CoreSearch, CatchesEmptyRecoverReplies) {
+    EXPECT_GT(schedulesUntilDetected(Defect::sendsEmptyRecoverReply, 300), 0);
 }
-TEST(CoreSearch, AnAnswerBeforeTheSyncIsCaught) {
-    EXPECT_GT(schedulesUntilCaught(Defect::ackBeforeSync, 300), 0);
+TEST(CoreSearch, CatchesAReplyBeforeSync) {
+    EXPECT_GT(schedulesUntilDetected(Defect::ackBeforeSync, 300), 0);
 }
-TEST(CoreSearch, AReadWithoutWriteBackIsCaught) {
-    EXPECT_GT(schedulesUntilCaught(Defect::noWriteBack, 300), 0);
+TEST(CoreSearch, CatchesAReadWithoutWriteBack) {
+    EXPECT_GT(schedulesUntilDetected(Defect::noWriteBack, 300), 0);
 }
-TEST(CoreSearch, AnAcceptorThatIgnoresItsClaimsIsCaught) {
-    EXPECT_GT(schedulesUntilCaught(Defect::ignoresClaims, 100), 0);
+TEST(CoreSearch, CatchesAnAcceptorThatIgnoresItsClaims) {
+    EXPECT_GT(schedulesUntilDetected(Defect::ignoresClaims, 100), 0);
 }
-TEST(CoreSearch, AWriterThatPutsItsOwnTextIsCaught) {
-    EXPECT_GT(schedulesUntilCaught(Defect::putsItsOwn, 100), 0);
+TEST(CoreSearch, CatchesAWriterThatIgnoresTheAcceptedValue) {
+    EXPECT_GT(schedulesUntilDetected(Defect::ignoresAcceptedValue, 100), 0);
 }
-TEST(CoreSearch, APromiseForgottenByARestartIsCaught) {
-    EXPECT_GT(schedulesUntilCaught(Defect::forgetsPromise, 100), 0);
+TEST(CoreSearch, CatchesPromisesForgottenByARestart) {
+    EXPECT_GT(schedulesUntilDetected(Defect::forgetsPromises, 100), 0);
 }
-TEST(CoreSearch, AVoteRightAfterARestartIsCaught) {
-    EXPECT_GT(schedulesUntilCaught(Defect::votesAfterStart, 300), 0);
+TEST(CoreSearch, CatchesAVoteRightAfterARestart) {
+    EXPECT_GT(schedulesUntilDetected(Defect::votesRightAfterRestart, 300), 0);
 }
-TEST(CoreSearch, AHolderThatOutlastsItsLeaseIsCaught) {
-    EXPECT_GT(schedulesUntilCaught(Defect::outlastsLease, 100), 0);
+TEST(CoreSearch, CatchesAHolderBeyondItsLease) {
+    EXPECT_GT(schedulesUntilDetected(Defect::holdsExpiredLease, 100), 0);
 }
-TEST(CoreSearch, ARepeatedOrderThatIsRefusedIsCaught) {
-    EXPECT_GT(schedulesUntilCaught(Defect::refusesRepeats, 100), 0);
-}
-TEST(CoreSearch, AFenceThatDoesNotGrowIsCaught) {
-    EXPECT_GT(schedulesUntilCaught(Defect::fenceStays, 100), 0);
+TEST(CoreSearch, CatchesARefusedRepeatedWrite) {
+    EXPECT_GT(schedulesUntilDetected(Defect::refusesRepeatedWrites, 100), 0);
 }
+TEST(CoreSearch, CatchesAReusedTerm) { EXPECT_GT(schedulesUntilDetected(Defect::reusesTerm, 100), 0); }
 
 // How many schedules of `first`.. a defect breaks: CONSENSUS_DEFECT=4 CONSENSUS_SCHEDULES=300.
-TEST(CoreSearch, CountOfOneDefect) {
+TEST(CoreSearch, CountsSchedulesBrokenByOneDefect) {
     const char* wanted = std::getenv("CONSENSUS_DEFECT");
     if (!wanted) GTEST_SKIP() << "for measuring: CONSENSUS_DEFECT, CONSENSUS_SCHEDULES";
     const char* count = std::getenv("CONSENSUS_SCHEDULES");
@@ -156,20 +154,20 @@
 
 // Two of three seeds lose their disks before the voters are decided: nobody begins anew by themselves, and
 // whatever was promised stays. Where that did not come to pass all must work as ever.
-TEST(CoreSearch, SeedsLostBeforeTheVotersForgetNothing) {
-    int barred = 0;
+TEST(CoreSearch, LosingSeedDisksBeforeVotersAreAgreedForgetsNothing) {
+    int startBlocked = 0;
     for (uint32_t seed = 1; seed <= 120; ++seed) {
         sim::Plan plan{seed, seed % 2 ? 5 : 9, 2, Defect::none, true, 12};
-        plan.bareSeeds = true;
+        plan.losesSeedDisks = true;
         sim::World world(plan);
         EXPECT_EQ(world.run(), "") << "seed " << seed;
-        barred += world.barred();
+        startBlocked += world.startBlocked();
     }
-    EXPECT_GT(barred, 20);
+    EXPECT_GT(startBlocked, 20);
 }
 
-TEST(CoreSearch, APromiseOfWhichTheDiskKeepsAnEarlierOneIsCaught) {
-    EXPECT_GT(schedulesUntilCaught(Defect::stalePromise, 100, true), 0);
+TEST(CoreSearch, CatchesAStalePromiseOnDisk) {
+    EXPECT_GT(schedulesUntilDetected(Defect::stalePromise, 100, true), 0);
 }
 
 }  // namespace
--- a/system/consensus/core_test.cpp
+++ b/system/consensus/core_test.cpp
@@ -3,7 +3,7 @@
 
 #include <gtest/gtest.h>
 
-#include "system/consensus/sim_for_test.hpp"
+#include "system/consensus/world_for_test.hpp"
 
 namespace petrelpond::consensus {
 namespace {
@@ -19,8 +19,8 @@
     return o;
 }
 
-Durable durable(int64_t version = 0) {
-    Durable d;
+DurableState durable(int64_t version = 0) {
+    DurableState d;
     d.voters = d.electors = {a, b, c};
     d.epoch = 1;
     d.term = 3;
@@ -29,55 +29,55 @@
 }
 
 template <class T>
-std::vector<T> pull(Core& core) {
+std::vector<T> drainOutputs(Core& core) {
     std::vector<T> all;
-    while (auto o = core.next()) {
+    while (auto o = core.nextOutput()) {
         if (auto* t = std::get_if<T>(&*o)) all.push_back(std::move(*t));
     }
     return all;
 }
 
-int count(const std::vector<Send>& sends, Kind kind) {
-    return static_cast<int>(
-        std::count_if(sends.begin(), sends.end(), [&](const Send& s) { return s.message.kind == kind; }));
+int count(const std::vector<SendRequest>& sends, MessageKind kind) {
+    return static_cast<int>(std::count_if(sends.begin(), sends.end(),
+                                          [&](const SendRequest& s) { return s.message.kind == kind; }));
 }
 
 Message put(int64_t version) {
     Message m;
-    m.kind = Kind::put;
-    m.number = 5;
+    m.kind = MessageKind::put;
+    m.requestId = 5;
     m.voters = {a, b, c};
     m.epoch = 1;
     m.value = std::make_shared<const Value>(Value{version, 1, "body"});
     return m;
 }
 
-Message plain(Kind kind, uint64_t term = 0) {
+Message plain(MessageKind kind, uint64_t term = 0) {
     Message m;
     m.kind = kind;
-    m.number = 6;
+    m.requestId = 6;
     m.epoch = 1;
     m.term = term;
     return m;
 }
 
 // Another member has not seen our disk further than it is: from then on this core counts.
-void vouch(Core& core) {
-    core.heard(ms(0), b, plain(Kind::helloBack));
-    while (core.next()) {
+void passRollbackCheck(Core& core) {
+    core.receive(ms(0), b, plain(MessageKind::helloReply));
+    while (core.nextOutput()) {
     }
 }
 
-TEST(Message, ComesBackAndGarbageDoesNot) {
+TEST(Message, RoundTripsAndRejectsGarbage) {
     Message m = put(7);
-    m.yes = m.counted = true;
-    m.disk = {4, 9, ~0ULL};
-    m.sure = {3, kChosen, 2};
+    m.granted = m.mayVote = true;
+    m.syncedValue = {4, 9, ~0ULL};
+    m.chosenValue = {3, kChosenBallot, 2};
     m.version = 7;
     m.claims = {{7, 3}, {9, 1}};
     m.term = 9;
     m.ballot = 513;
-    m.accepted = 512;
+    m.acceptedBallot = 512;
     m.nodes = {a};
     m.electors = {b};
     const std::string bytes = encode(m);
@@ -85,7 +85,7 @@
     ASSERT_TRUE(back);
     EXPECT_EQ(encode(*back), bytes);
     EXPECT_EQ(back->value->body, "body");
-    EXPECT_EQ(back->disk, m.disk);
+    EXPECT_EQ(back->syncedValue, m.syncedValue);
     for (size_t n = 0; n < bytes.size(); ++n) EXPECT_FALSE(decode(bytes.substr(0, n))) << n;
     EXPECT_FALSE(decode(bytes + "x"));
     EXPECT_FALSE(decode("GET / HTTP/1.1\r\n\r\n"));
@@ -98,88 +98,90 @@
     EXPECT_FALSE(decode("\xdd\xff\xff\xff\xff"));
 }
 
-TEST(Core, APutIsAnsweredOnlyOnceItIsSynced) {
+TEST(Core, AnswersAPutOnlyAfterSync) {
     Core core(ms(0), options(a), durable());
-    vouch(core);
-    core.heard(ms(1), b, put(7));
-    std::optional<Save> save;
-    while (auto o = core.next()) {
-        if (auto* s = std::get_if<Save>(&*o)) save = *s;
-        const auto* sent = std::get_if<Send>(&*o);
-        EXPECT_TRUE(!sent || sent->message.kind != Kind::held);
+    passRollbackCheck(core);
+    core.receive(ms(1), b, put(7));
+    std::optional<SaveRequest> save;
+    while (auto o = core.nextOutput()) {
+        if (auto* s = std::get_if<SaveRequest>(&*o)) save = *s;
+        const auto* sent = std::get_if<SendRequest>(&*o);
+        EXPECT_TRUE(!sent || sent->message.kind != MessageKind::registerReply);
     }
     ASSERT_TRUE(save);
     EXPECT_EQ(save->state.value.version, 7);
-    core.saved(ms(2), save->token);
-    const auto sends = pull<Send>(core);
-    ASSERT_EQ(count(sends, Kind::held), 1);
-    EXPECT_EQ(sends[0].message.disk, (Mark{7, 0, 1}));
+    core.handleSaved(ms(2), save->token);
+    const auto sends = drainOutputs<SendRequest>(core);
+    ASSERT_EQ(count(sends, MessageKind::registerReply), 1);
+    EXPECT_EQ(sends[0].message.syncedValue, (ValueHeader{7, 0, 1}));
 }
 
-TEST(Core, ABrokenDiskAnswersNothingUntilALaterSaveSucceeds) {
+TEST(Core, StaysSilentAfterASaveFailureUntilALaterSaveSucceeds) {
     Core core(ms(0), options(a), durable());
-    vouch(core);
-    core.heard(ms(1), b, put(7));
-    const auto saves = pull<Save>(core);
+    passRollbackCheck(core);
+    core.receive(ms(1), b, put(7));
+    const auto saves = drainOutputs<SaveRequest>(core);
     ASSERT_EQ(saves.size(), 1u);
-    core.saveFailed(ms(2), saves[0].token);
-    core.heard(ms(3), b, plain(Kind::get));
-    core.heard(ms(4), b, plain(Kind::voteAsk, 9));
-    EXPECT_EQ(pull<Send>(core).size(), 0u);
-    std::vector<Save> again;
+    core.handleSaveFailure(ms(2), saves[0].token);
+    core.receive(ms(3), b, plain(MessageKind::get));
+    core.receive(ms(4), b, plain(MessageKind::voteRequest, 9));
+    EXPECT_EQ(drainOutputs<SendRequest>(core).size(), 0u);
+    std::vector<SaveRequest> again;
     int64_t at = 5;
     for (; again.empty() && at < 2000; at += 10) {
         core.tick(ms(at));
-        again = pull<Save>(core);
+        again = drainOutputs<SaveRequest>(core);
     }
     EXPECT_GT(at, 400);  // a pause, and then
     ASSERT_EQ(again.size(), 1u);
-    core.saved(ms(at), again[0].token);
-    core.heard(ms(at + 1), b, plain(Kind::get));
-    EXPECT_EQ(count(pull<Send>(core), Kind::held), 1);
+    core.handleSaved(ms(at), again[0].token);
+    core.receive(ms(at + 1), b, plain(MessageKind::get));
+    EXPECT_EQ(count(drainOutputs<SendRequest>(core), MessageKind::registerReply), 1);
 }
 
-TEST(Core, AnAmnesiacAnswersNothingUntilAMajorityOfOthersHasToldItAll) {
+TEST(Core, AfterDiskLossStaysSilentUntilAMajorityHasReplied) {
     Core core(ms(0), options(a), std::nullopt);
-    for (Save& s : pull<Save>(core)) {
+    for (SaveRequest& s : drainOutputs<SaveRequest>(core)) {
         EXPECT_TRUE(s.state.recovering);
-        core.saved(ms(1), s.token);
+        core.handleSaved(ms(1), s.token);
     }
-    Message hello = plain(Kind::helloBack);
+    Message hello = plain(MessageKind::helloReply);
     hello.voters = hello.electors = {a, b, c};
-    core.heard(ms(2), b, hello);
-    core.heard(ms(3), b, put(7));
-    core.heard(ms(4), b, plain(Kind::get));
-    core.heard(ms(5), b, plain(Kind::voteAsk, 9));
-    core.heard(ms(6), b, plain(Kind::recoverAsk));
-    for (Save& s : pull<Save>(core)) core.saved(ms(7), s.token);
-    auto sends = pull<Send>(core);
-    for (const Kind k : {Kind::held, Kind::vote, Kind::recoverTell}) EXPECT_EQ(count(sends, k), 0);
+    core.receive(ms(2), b, hello);
+    core.receive(ms(3), b, put(7));
+    core.receive(ms(4), b, plain(MessageKind::get));
+    core.receive(ms(5), b, plain(MessageKind::voteRequest, 9));
+    core.receive(ms(6), b, plain(MessageKind::recoverRequest));
+    for (SaveRequest& s : drainOutputs<SaveRequest>(core)) core.handleSaved(ms(7), s.token);
+    auto sends = drainOutputs<SendRequest>(core);
+    for (const MessageKind k :
+         {MessageKind::registerReply, MessageKind::voteReply, MessageKind::recoverReply})
+        EXPECT_EQ(count(sends, k), 0);
     // Not before all has ended that its answers of earlier may count in.
     core.tick(ms(1400));
-    for (Save& s : pull<Save>(core)) core.saved(ms(1401), s.token);
+    for (SaveRequest& s : drainOutputs<SaveRequest>(core)) core.handleSaved(ms(1401), s.token);
     core.tick(ms(1490));
-    EXPECT_EQ(count(pull<Send>(core), Kind::recoverAsk), 0);
+    EXPECT_EQ(count(drainOutputs<SendRequest>(core), MessageKind::recoverRequest), 0);
     core.tick(ms(1600));
-    sends = pull<Send>(core);
-    ASSERT_EQ(count(sends, Kind::recoverAsk), 2);
-    Message tell = plain(Kind::recoverTell, 12);
-    for (const Send& s : sends) {
-        if (s.message.kind == Kind::recoverAsk) tell.number = s.message.number;
+    sends = drainOutputs<SendRequest>(core);
+    ASSERT_EQ(count(sends, MessageKind::recoverRequest), 2);
+    Message tell = plain(MessageKind::recoverReply, 12);
+    for (const SendRequest& s : sends) {
+        if (s.message.kind == MessageKind::recoverRequest) tell.requestId = s.message.requestId;
     }
-    tell.yes = true;
+    tell.granted = true;
     tell.voters = {a, b, c};
     tell.value = std::make_shared<const Value>(Value{8, 1, "newer"});
-    core.heard(ms(1601), b, tell);
-    core.heard(ms(1602), b, tell);  // the same again is not a second one
+    core.receive(ms(1601), b, tell);
+    core.receive(ms(1602), b, tell);  // the same again is not a second one
     tell.recovering = true;
-    core.heard(ms(1603), c, tell);  // and who recovers itself is none
-    EXPECT_TRUE(core.recovering());
-    for (Save& s : pull<Save>(core)) core.saved(ms(1604), s.token);
+    core.receive(ms(1603), c, tell);  // and who recovers itself is none
+    EXPECT_TRUE(core.isRecovering());
+    for (SaveRequest& s : drainOutputs<SaveRequest>(core)) core.handleSaved(ms(1604), s.token);
     tell.recovering = false;
-    core.heard(ms(1605), c, tell);
-    EXPECT_FALSE(core.recovering());
-    const auto saves = pull<Save>(core);
+    core.receive(ms(1605), c, tell);
+    EXPECT_FALSE(core.isRecovering());
+    const auto saves = drainOutputs<SaveRequest>(core);
     ASSERT_EQ(saves.size(), 1u);
     EXPECT_EQ(saves[0].state.value.version, 8);
     EXPECT_EQ(saves[0].state.term, 12u);
@@ -187,79 +189,81 @@
 }
 
 // A member that is on other voters already may have told the new one all that it knew before it was asked.
-TEST(Core, AnswersOfMembersThatAreOnAnotherVotersDoNotCount) {
-    for (const Defect defect : {Defect::none, Defect::mixedEpochs}) {
+TEST(Core, IgnoresRepliesFromAnotherVotersEpoch) {
+    for (const Defect defect : {Defect::none, Defect::countsOtherEpochs}) {
         Options o = options(a);
         o.defect = defect;
         Core core(ms(0), o, durable(8));
-        vouch(core);
+        passRollbackCheck(core);
         core.read(ms(1), 4);
-        uint64_t number = 0;
-        while (auto out = core.next()) {
-            if (auto* s = std::get_if<Save>(&*out)) core.saved(ms(2), s->token);
-            if (auto* s = std::get_if<Send>(&*out); s && s->message.kind == Kind::get)
-                number = s->message.number;
+        uint64_t requestId = 0;
+        while (auto out = core.nextOutput()) {
+            if (auto* s = std::get_if<SaveRequest>(&*out)) core.handleSaved(ms(2), s->token);
+            if (auto* s = std::get_if<SendRequest>(&*out); s && s->message.kind == MessageKind::get)
+                requestId = s->message.requestId;
         }
-        ASSERT_NE(number, 0u);
-        Message held = plain(Kind::held);
-        held.number = number, held.disk = {8, 0, 1}, held.epoch = 2;
-        core.heard(ms(3), b, held);
-        const bool done = !pull<Answer>(core).empty();
-        EXPECT_EQ(done, defect == Defect::mixedEpochs);  // the defect shows that this test can fail
+        ASSERT_NE(requestId, 0u);
+        Message held = plain(MessageKind::registerReply);
+        held.requestId = requestId, held.syncedValue = {8, 0, 1}, held.epoch = 2;
+        core.receive(ms(3), b, held);
+        const bool done = !drainOutputs<OperationResult>(core).empty();
+        EXPECT_EQ(done, defect == Defect::countsOtherEpochs);  // the defect shows that this test can fail
     }
 }
 
 // Once it knows of other voters a member answers nothing under the former one, and nothing under the new one
 // until a majority of the former has told it what it knows.
-TEST(Core, AMemberOfAChangedVotersTakesItOverBeforeItAnswers) {
+TEST(Core, AfterAVotersChangeRecoversStateBeforeAnswering) {
     Core core(ms(0), options(a), durable(7));
-    pull<Send>(core);
-    Message hello = plain(Kind::helloBack);
-    hello.epoch = 2, hello.voters = {a, b, "10.0.0.4"}, hello.former = {a, b, c},
-    hello.joined = {"10.0.0.4#9"};
-    core.heard(ms(10), b, hello);
-    core.heard(ms(11), c, put(9));  // of the former voters
-    Message get = plain(Kind::get);
+    drainOutputs<SendRequest>(core);
+    Message hello = plain(MessageKind::helloReply);
+    hello.epoch = 2, hello.voters = {a, b, "10.0.0.4"}, hello.formerVoters = {a, b, c},
+    hello.joinedDisks = {"10.0.0.4#9"};
+    core.receive(ms(10), b, hello);
+    core.receive(ms(11), c, put(9));  // of the former voters
+    Message get = plain(MessageKind::get);
     get.epoch = 2;
-    core.heard(ms(12), b, get);
-    for (Save& s : pull<Save>(core)) core.saved(ms(13), s.token);
+    core.receive(ms(12), b, get);
+    for (SaveRequest& s : drainOutputs<SaveRequest>(core)) core.handleSaved(ms(13), s.token);
     core.tick(ms(14));
-    auto sends = pull<Send>(core);
-    EXPECT_EQ(count(sends, Kind::held), 0);
-    EXPECT_GT(count(sends, Kind::recoverAsk), 0);
-    Message tell = plain(Kind::recoverTell);
-    for (const Send& s : sends)
-        if (s.message.kind == Kind::recoverAsk) tell.number = s.message.number;
-    tell.epoch = 2, tell.recovering = true, tell.yes = true, tell.entering = 2, tell.term = 5;
-    tell.value = std::make_shared<const Value>(Value{8, 1, "body"}), tell.disk = {8, 0, 1};
-    core.heard(ms(20), c, tell);  // c left the voters, and is needed all the same
-    for (Save& s : pull<Save>(core)) core.saved(ms(21), s.token);
-    core.heard(ms(22), b, get);
-    sends = pull<Send>(core);
-    ASSERT_EQ(count(sends, Kind::held), 1);
-    for (const Send& s : sends) {
-        if (s.message.kind == Kind::held) {
-            EXPECT_EQ(s.message.disk, (Mark{8, 0, 1}));
+    auto sends = drainOutputs<SendRequest>(core);
+    EXPECT_EQ(count(sends, MessageKind::registerReply), 0);
+    EXPECT_GT(count(sends, MessageKind::recoverRequest), 0);
+    Message tell = plain(MessageKind::recoverReply);
+    for (const SendRequest& s : sends)
+        if (s.message.kind == MessageKind::recoverRequest) tell.requestId = s.message.requestId;
+    tell.epoch = 2, tell.recovering = true, tell.granted = true, tell.takeoverState = 2, tell.term = 5;
+    tell.value = std::make_shared<const Value>(Value{8, 1, "body"}), tell.syncedValue = {8, 0, 1};
+    core.receive(ms(20), c, tell);  // c left the voters, and is needed all the same
+    for (SaveRequest& s : drainOutputs<SaveRequest>(core)) core.handleSaved(ms(21), s.token);
+    core.receive(ms(22), b, get);
+    sends = drainOutputs<SendRequest>(core);
+    ASSERT_EQ(count(sends, MessageKind::registerReply), 1);
+    for (const SendRequest& s : sends) {
+        if (s.message.kind == MessageKind::registerReply) {
+            EXPECT_EQ(s.message.syncedValue, (ValueHeader{8, 0, 1}));
         }
     }
-    Message ask = plain(Kind::voteAsk, 9);  // the former voters's holder may still hold for a leaseTime
+    Message ask =
+        plain(MessageKind::voteRequest, 9);  // the former voters's holder may still hold for a leaseDuration
     ask.epoch = 2;
-    core.heard(ms(30), b, ask);
-    for (Save& s : pull<Save>(core)) core.saved(ms(31), s.token);
-    for (const Send& s : pull<Send>(core)) {
-        if (s.message.kind == Kind::vote) {
-            EXPECT_FALSE(s.message.yes);
+    core.receive(ms(30), b, ask);
+    for (SaveRequest& s : drainOutputs<SaveRequest>(core)) core.handleSaved(ms(31), s.token);
+    for (const SendRequest& s : drainOutputs<SendRequest>(core)) {
+        if (s.message.kind == MessageKind::voteReply) {
+            EXPECT_FALSE(s.message.granted);
         }
     }
 }
 
-TEST(Core, AChangeThatCannotBeIsRefusedWithWhy) {
+TEST(Core, RefusesAnInvalidVotersChangeWithAReason) {
     Core core(ms(0), options(a), durable());
-    vouch(core);
+    passRollbackCheck(core);
     const auto why = [&](std::vector<NodeId> gone, std::vector<NodeId> come) {
-        core.change(ms(5), 1, std::move(gone), std::move(come));
-        const auto answers = pull<Answer>(core);
-        return answers.size() == 1 && answers[0].how == Answer::refused ? answers[0].why : std::string();
+        core.changeVoters(ms(5), 1, std::move(gone), std::move(come));
+        const auto answers = drainOutputs<OperationResult>(core);
+        return answers.size() == 1 && answers[0].outcome == OperationResult::refused ? answers[0].reason
+                                                                                     : std::string();
     };
     EXPECT_EQ(why({c}, {"10.0.0.9"}), "10.0.0.9 is not heard of as a core whose disk may count");
     EXPECT_EQ(why({"10.0.0.8"}, {"10.0.0.9"}), "10.0.0.8 is not among the voters");
@@ -269,20 +273,20 @@
 
 // From the command to the new voters at work, with the machine that leaves dead, and a write on the new
 // voters after it.
-TEST(Core, ADeadMemberIsReplaced) {
+TEST(Core, ReplacesADeadVoterOnRequest) {
     sim::World w({5, 3, 1, Defect::none, false, 20, true, 1});
     w.at(sim::World::millis(5900), [&] { w.kill(2); });
     bool done = false;
     w.at(sim::World::millis(12000), [&] {
         w.changing_.insert(900);
-        w.nodes_[0].core->change(w.clock(0), 900, {w.nodes_[2].id}, {w.nodes_[3].id});
+        w.nodes_[0].core->changeVoters(w.clock(0), 900, {w.nodes_[2].id}, {w.nodes_[3].id});
         w.drain(0);
     });
     w.at(sim::World::millis(14000), [&] {
         done = w.changing_.count(900) == 0;
         EXPECT_EQ(w.nodes_[0].core->voters(),
                   (std::vector<NodeId>{w.nodes_[0].id, w.nodes_[1].id, w.nodes_[3].id}));
-        EXPECT_FALSE(w.nodes_[3].core->recovering());
+        EXPECT_FALSE(w.nodes_[3].core->isRecovering());
         w.kill(1);  // the one that came counts: with it there is a majority
     });
     w.at(sim::World::millis(17000), [&] { EXPECT_GE(w.holder(), 0); });
@@ -290,44 +294,44 @@
     EXPECT_TRUE(done);
 }
 
-TEST(Core, AWriteWithoutAMajorityIsToldInTime) {
+TEST(Core, ReportsAWriteWithoutAMajorityInTime) {
     Core core(ms(0), options(a), durable());
-    vouch(core);
+    passRollbackCheck(core);
     core.write(ms(10), 77, std::make_shared<const Value>(Value{1, 1, "x"}));
-    for (Save& s : pull<Save>(core)) core.saved(ms(12), s.token);
-    std::vector<Answer> answers;
+    for (SaveRequest& s : drainOutputs<SaveRequest>(core)) core.handleSaved(ms(12), s.token);
+    std::vector<OperationResult> answers;
     Instant now = ms(12);
     while (answers.empty() && now < ms(5000)) {
-        now = std::max(now + Span::micros(1), core.wakeAt());
+        now = std::max(now + Span::micros(1), core.nextWakeup());
         core.tick(now);
-        answers = pull<Answer>(core);
+        answers = drainOutputs<OperationResult>(core);
     }
     ASSERT_EQ(answers.size(), 1u);
-    EXPECT_EQ(answers[0].how, Answer::noMajority);
+    EXPECT_EQ(answers[0].outcome, OperationResult::noMajority);
     EXPECT_EQ(answers[0].ticket, 77u);
     EXPECT_LE(now, ms(912));
 }
 
-TEST(Core, AnAnswerAfterThePatienceDoesNotCount) {
+TEST(Core, IgnoresRepliesAfterTheOperationTimeout) {
     Core core(ms(0), options(a), durable());
-    vouch(core);
+    passRollbackCheck(core);
     core.write(ms(10), 77, std::make_shared<const Value>(Value{1, 1, "x"}));
-    Message held = plain(Kind::held);
-    std::optional<Save> save;
-    while (auto o = core.next()) {
-        if (auto* s = std::get_if<Save>(&*o)) save = *s;
-        if (auto* s = std::get_if<Send>(&*o)) held.number = s->message.number;
+    Message held = plain(MessageKind::registerReply);
+    std::optional<SaveRequest> save;
+    while (auto o = core.nextOutput()) {
+        if (auto* s = std::get_if<SaveRequest>(&*o)) save = *s;
+        if (auto* s = std::get_if<SendRequest>(&*o)) held.requestId = s->message.requestId;
     }
     ASSERT_TRUE(save);
-    core.saved(ms(12), save->token);
-    held.disk = {1, 1};
-    core.heard(ms(2000), b, held);  // frozen meanwhile: b may have lost its disk since it answered
-    const auto answers = pull<Answer>(core);
+    core.handleSaved(ms(12), save->token);
+    held.syncedValue = {1, 1};
+    core.receive(ms(2000), b, held);  // frozen meanwhile: b may have lost its disk since it answered
+    const auto answers = drainOutputs<OperationResult>(core);
     ASSERT_EQ(answers.size(), 1u);
-    EXPECT_EQ(answers[0].how, Answer::noMajority);
+    EXPECT_EQ(answers[0].outcome, OperationResult::noMajority);
 }
 
-TEST(Core, AllThatLosePowerBeforeTheirFirstSyncBeginAnew) {
+TEST(Core, RestartsBootstrapAfterPowerLossBeforeTheFirstSync) {
     for (const int cores : {3, 5}) {
         sim::World w({1, cores, 1, Defect::none, false, 15});
         w.at(301, [&] {
@@ -342,7 +346,7 @@
     }
 }
 
-TEST(Core, OneOfThreeWithoutItsDiskBeforeTheVotersIsAgreedComesBack) {
+TEST(Core, RecoversASeedThatLosesItsDiskBeforeVotersAreAgreed) {
     sim::World w({2, 3, 1, Defect::none, false, 15});
     w.at(sim::World::millis(700), [&] {
         w.kill(1);
@@ -354,7 +358,7 @@
 }
 
 // Fewer cores than three: the seeds are all there are, and nobody waits for more.
-TEST(Core, OneOrTwoCoresWorkToo) {
+TEST(Core, WorksWithOneOrTwoCores) {
     for (const int cores : {1, 2}) {
         sim::World w({7, cores, 1, Defect::none, false, 8});
         w.at(sim::World::millis(6000),
@@ -364,7 +368,7 @@
 }
 
 // A set of voters on which nobody could recover is not agreed because one core comes a little late.
-TEST(Core, TheVotersWaitsForACoreThatIsDownAtTheStart) {
+TEST(Core, FirstVotersWaitForACoreThatStartsLate) {
     sim::World w({8, 5, 2, Defect::none, false, 15});
     w.at(500, [&] { w.kill(4); });
     w.at(sim::World::millis(4000), [&] { w.start(4, false); });
@@ -373,7 +377,7 @@
 }
 
 // CPU is paid for: at rest only the holder talks to all, and the others answer.
-TEST(Core, FewMessagesAtRest) {
+TEST(Core, SendsFewMessagesWhenIdle) {
     sim::World w({6, 9, 2, Defect::none, false, 20, false});
     long before = 0;
     w.at(sim::World::millis(15000), [&] { before = w.sends_; });
@@ -383,7 +387,7 @@
 
 // Two operators write different texts under one number in the same instant, at two cores: one is confirmed,
 // the other is told so, and both stand by that whoever is asked later.
-TEST(Core, OfTwoTextsUnderOneVersionOneIsChosenAndTheOtherIsToldSo) {
+TEST(Core, ChoosesOneOfTwoValuesOfAVersionAndReportsAConflictToTheOther) {
     for (uint32_t seed = 1; seed <= 20; ++seed) {
         sim::World w({seed, 3, 1, Defect::none, false, 20, false});
         const auto ask = [&w](size_t i, const Value& v) { w.writeAt(i, v); };
@@ -409,7 +413,7 @@
 }
 
 // The same order at two cores at once, as after an answer that was lost: both say that it is done.
-TEST(Core, TheSameOrderAtTwoCoresIsConfirmedByBoth) {
+TEST(Core, ConfirmsTheSameWriteAtSeveralCores) {
     sim::World w({3, 5, 2, Defect::none, false, 15, false});
     w.at(sim::World::millis(8000), [&w] {
         for (size_t i = 0; i < 4; ++i) w.writeAt(i, Value{7, 1, "7:1"});
@@ -420,17 +424,17 @@
 }
 
 // A lower number than the one in force is confirmed and alters nothing.
-TEST(Core, AnOlderOrderIsConfirmedAndAltersNothing) {
+TEST(Core, ConfirmsAnOlderWriteWithoutApplyingIt) {
     sim::World w({4, 3, 1, Defect::none, false, 15, false});
     w.at(sim::World::millis(8000), [&w] { w.writeAt(0, Value{9, 1, "9:1"}); });
     w.at(sim::World::millis(9000), [&w] { w.writeAt(1, Value{7, 1, "7:1"}); });
-    w.at(sim::World::millis(10000), [&w] { EXPECT_EQ(w.nodes_[2].core->held()->version, 9); });
+    w.at(sim::World::millis(10000), [&w] { EXPECT_EQ(w.nodes_[2].core->newestValue()->version, 9); });
     EXPECT_EQ(w.run(), "");
     EXPECT_EQ(w.doneWrites(), 2);
 }
 
 // A writer dies after one disk has its text: a read settles it, and what it then gives stays.
-TEST(Core, ATextWhoseWriterDiedIsSettledByAReader) {
+TEST(Core, AReaderSettlesAValueWhoseWriterDied) {
     sim::World w({6, 3, 1, Defect::none, false, 15, false});
     w.loss_ = 0;
     w.at(sim::World::millis(8000), [&w] {
@@ -444,17 +448,17 @@
 }
 
 // What was heard of an earlier disk of the same machine, before it was lost, is no sign that this one is old.
-TEST(Core, AWordOfAnEarlierDiskDoesNotMakeThisOneOld) {
+TEST(Core, IgnoresSaveCountsOfAnEarlierDisk) {
     for (const bool same : {false, true}) {
-        Durable disk = durable();
-        disk.birth = 7;
-        disk.saves = 3;
+        DurableState disk = durable();
+        disk.diskId = 7;
+        disk.saveCount = 3;
         Core core(ms(0), options(a), disk);
-        Message hello = plain(Kind::helloBack);
-        hello.knownBirth = same ? 7 : 6;
-        hello.knownSaves = 100;
-        core.heard(ms(1), b, hello);
-        EXPECT_EQ(core.recovering(), same);
+        Message hello = plain(MessageKind::helloReply);
+        hello.knownDiskId = same ? 7 : 6;
+        hello.knownSaveCount = 100;
+        core.receive(ms(1), b, hello);
+        EXPECT_EQ(core.isRecovering(), same);
     }
 }
 
--- a/system/consensus/disk_age.cpp
+++ b/system/consensus/disk_age.cpp
@@ -10,28 +10,28 @@
 //
 // It harms by one round trip at each start. It does not find a disk that was put back to a state which none
 // of those that answer have heard of later; a copy from an earlier day is older than that.
-#include "system/consensus/core_parts.hpp"
+#include "system/consensus/core_internal.hpp"
 
 namespace petrelpond::consensus {
 
-void Core::checkAge(Instant now, const NodeId& from, const Message& m) {
-    if (o_.defect == Defect::trustsOldDisk) ageChecked_ = true;
-    if (ageChecked_ || mem_.recovering || mem_.voters.empty()) return;
+void Core::checkForRollback(Instant now, const NodeId& from, const Message& m) {
+    if (options_.defect == Defect::trustsRolledBackDisk) rollbackChecked_ = true;
+    if (rollbackChecked_ || state_.recovering || state_.voters.empty()) return;
     // A late word of an earlier disk of this machine says nothing of this one.
-    if (m.knownBirth == mem_.birth && m.knownSaves > mem_.saves) return treatAsLost(now);
-    if (isVoter(from)) vouchers_.insert(from);
-    ageChecked_ = vouchers_.size() + 1 >= majority();
+    if (m.knownDiskId == state_.diskId && m.knownSaveCount > state_.saveCount) return treatDiskAsLost(now);
+    if (isVoter(from)) diskConfirmedBy_.insert(from);
+    rollbackChecked_ = diskConfirmedBy_.size() + 1 >= majority();
 }
 
-void Core::treatAsLost(Instant now) {
-    mem_.recovering = true;
-    mem_.elects = false;
-    mem_.entering = 0;
-    mem_.birth = static_cast<uint64_t>(random_()) << 32 | random_() | 1;
-    mem_.claims = {};
-    recoverNumber_ = 0;
-    recoverAt_ = now + recoverWait(o_);
-    touch();
+void Core::treatDiskAsLost(Instant now) {
+    state_.recovering = true;
+    state_.mayElect = false;
+    state_.takeoverState = 0;
+    state_.diskId = static_cast<uint64_t>(random_()) << 32 | random_() | 1;
+    state_.claims = {};
+    recoverRequestId_ = 0;
+    recoverAt_ = now + recoveryDelay(options_);
+    markDirty();
 }
 
 }  // namespace petrelpond::consensus
--- a/system/consensus/disk_age_test.cpp
+++ b/system/consensus/disk_age_test.cpp
@@ -1,7 +1,7 @@
 // Disks that are put back to an earlier state.
 #include <gtest/gtest.h>
 
-#include "system/consensus/sim_for_test.hpp"
+#include "system/consensus/world_for_test.hpp"
 
 namespace petrelpond::consensus {
 namespace {
@@ -10,10 +10,10 @@
 // acknowledged goes back, and the machine rebuilds as from a lost disk. Also where all lose power at once.
 std::string putADiskBack(Defect defect, bool power) {
     sim::Plan plan{11, 3, 1, defect, false, 30, true};
-    plan.spans = true;
+    plan.serviceTimings = true;
     sim::World w(plan);
     w.loss_ = 0;
-    std::optional<Durable> copy;
+    std::optional<DurableState> copy;
     std::string wrong;
     const auto cutOffOne = [&w](size_t i, bool on) {
         for (size_t k = 0; k < 3; ++k) {
@@ -33,7 +33,7 @@
         w.start(0, false);
         w.start(1, false);
         w.at(sim::World::millis(3000), [&] {
-            if (w.nodes_[0].disk->birth == copy->birth) wrong = "an old disk is taken for the newest";
+            if (w.nodes_[0].disk->diskId == copy->diskId) wrong = "an old disk is taken for the newest";
             w.start(2, false);
         });
     });
@@ -44,7 +44,9 @@
     EXPECT_EQ(putADiskBack(Defect::none, false), "");
     EXPECT_EQ(putADiskBack(Defect::none, true), "");
 }
-TEST(Core, AMemberThatTrustsAnOldDiskIsCaught) { EXPECT_NE(putADiskBack(Defect::trustsOldDisk, false), ""); }
+TEST(Core, AMemberThatTrustsAnOldDiskIsCaught) {
+    EXPECT_NE(putADiskBack(Defect::trustsRolledBackDisk, false), "");
+}
 
 }  // namespace
 }  // namespace petrelpond::consensus
--- a/system/consensus/durable_record.cpp
+++ b/system/consensus/durable_record.cpp
@@ -54,7 +54,7 @@
     return value;
 }
 
-std::string packRest(const Durable& d) {
+std::string packRest(const DurableState& d) {
     msgpack::sbuffer buffer(512);
     msgpack::packer<msgpack::sbuffer> p(buffer);
     p.pack_array(restFields);
@@ -63,30 +63,30 @@
     p.pack(d.voters);
     p.pack(d.electors);
     p.pack(d.votersBallot);
-    p.pack(d.votersAccepted);
-    p.pack(d.votersOffer);
+    p.pack(d.votersAcceptedBallot);
+    p.pack(d.votersAcceptedOffer);
     p.pack(d.term);
     p.pack(d.votedFor);
     p.pack(d.recovering);
-    p.pack(d.elects);
+    p.pack(d.mayElect);
     p.pack(d.epoch);
-    p.pack(d.former);
-    p.pack(d.entering);
-    p.pack(d.joined);
-    p.pack(d.birth);
-    p.pack(d.promisedTo);
+    p.pack(d.formerVoters);
+    p.pack(d.takeoverState);
+    p.pack(d.joinedDisks);
+    p.pack(d.diskId);
+    p.pack(d.leasePromisedTo);
     p.pack(d.value.ballot);
     p.pack(d.claims.listed());
-    p.pack(d.saves);
-    p.pack_map(static_cast<uint32_t>(d.seen.size()));
-    for (const auto& [node, age] : d.seen) {
+    p.pack(d.saveCount);
+    p.pack_map(static_cast<uint32_t>(d.knownDisks.size()));
+    for (const auto& [node, age] : d.knownDisks) {
         p.pack(node);
-        p.pack(std::pair(age.birth, age.saves));
+        p.pack(std::pair(age.diskId, age.saveCount));
     }
     return framed({buffer.data(), buffer.size()});
 }
 
-std::optional<Durable> unpackRest(std::string_view record) {
+std::optional<DurableState> unpackRest(std::string_view record) {
     const auto content = unframed(record);
     if (!content) return {};
     try {
@@ -96,30 +96,30 @@
         const uint32_t size = o.via.array.size;
         if (size != restFields && size != restFieldsBeforeBallots) return {};
         const msgpack::object* f = o.via.array.ptr;
-        Durable d;
+        DurableState d;
         d.value.version = f[0].as<int64_t>();
         d.value.digest = f[1].as<uint64_t>();
         d.voters = f[2].as<std::vector<NodeId>>();
         d.electors = f[3].as<std::vector<NodeId>>();
         d.votersBallot = f[4].as<uint64_t>();
-        d.votersAccepted = f[5].as<uint64_t>();
-        d.votersOffer = f[6].as<std::vector<NodeId>>();
+        d.votersAcceptedBallot = f[5].as<uint64_t>();
+        d.votersAcceptedOffer = f[6].as<std::vector<NodeId>>();
         d.term = f[7].as<uint64_t>();
         d.votedFor = f[8].as<NodeId>();
         d.recovering = f[9].as<bool>();
-        d.elects = f[10].as<bool>();
+        d.mayElect = f[10].as<bool>();
         d.epoch = f[11].as<uint64_t>();
-        d.former = f[12].as<std::vector<NodeId>>();
-        d.entering = f[13].as<uint8_t>();
-        d.joined = f[14].as<std::vector<std::string>>();
-        d.birth = f[15].as<uint64_t>();
-        d.promisedTo = f[16].as<NodeId>();
+        d.formerVoters = f[12].as<std::vector<NodeId>>();
+        d.takeoverState = f[13].as<uint8_t>();
+        d.joinedDisks = f[14].as<std::vector<std::string>>();
+        d.diskId = f[15].as<uint64_t>();
+        d.leasePromisedTo = f[16].as<NodeId>();
         if (size == restFieldsBeforeBallots) return d;
         d.value.ballot = f[17].as<uint64_t>();
         d.claims = Claims(f[18].as<Claims::Ballots>());
-        d.saves = f[19].as<uint64_t>();
+        d.saveCount = f[19].as<uint64_t>();
         for (const auto& [node, age] : f[20].as<std::map<NodeId, std::pair<uint64_t, uint64_t>>>())
-            d.seen[node] = {age.first, age.second};
+            d.knownDisks[node] = {age.first, age.second};
         return d;
     } catch (const std::exception&) {
         return {};
--- a/system/consensus/durable_record.hpp
+++ b/system/consensus/durable_record.hpp
@@ -16,8 +16,8 @@
 std::optional<Value> unpackValue(std::string_view record);
 
 // All but the value's body.
-std::string packRest(const Durable&);
+std::string packRest(const DurableState&);
 // Nothing where the checksum is wrong, or the record is of no form that was ever written.
-std::optional<Durable> unpackRest(std::string_view record);
+std::optional<DurableState> unpackRest(std::string_view record);
 
 }  // namespace petrelpond::consensus
--- a/system/consensus/history_test.cpp
+++ b/system/consensus/history_test.cpp
@@ -5,31 +5,31 @@
 #include <cstdlib>
 #include <iostream>
 
-#include "system/consensus/sim_for_test.hpp"
+#include "system/consensus/world_for_test.hpp"
 #include "system/network/environment_for_test.hpp"
 
 namespace petrelpond::consensus {
 namespace {
 
 // Simulated seconds of troubles; CONSENSUS_SECONDS=6000 plays over ten thousand changes.
-uint32_t secondsAsked() { return numberFromEnvironment("CONSENSUS_SECONDS", 300); }
+uint32_t requestedSeconds() { return numberFromEnvironment("CONSENSUS_SECONDS", 300); }
 
-TEST(History, AfterThousandsOfChangesAllAreLevelAndNoDiskHasGrown) {
+TEST(History, AllCoresConvergeAndNoDiskGrows) {
     static const std::pair<int, int> shapes[] = {{3, 1}, {5, 2}, {9, 2}};
     uint32_t seed = 40;
     for (const auto& [cores, losses] : shapes) {
-        sim::Plan plan{++seed, cores, losses, Defect::none, true, static_cast<double>(secondsAsked())};
-        plan.spans = true;
+        sim::Plan plan{++seed, cores, losses, Defect::none, true, static_cast<double>(requestedSeconds())};
+        plan.serviceTimings = true;
         sim::World world(plan);
         EXPECT_EQ(world.run(), "") << cores << " cores";
-        std::cout << cores << " cores: " << world.doneWrites() << " writes, " << world.wipes()
+        std::cout << cores << " cores: " << world.doneWrites() << " writes, " << world.disksLost()
                   << " lost disks\n";
-        EXPECT_GT(world.doneWrites(), secondsAsked());
+        EXPECT_GT(world.doneWrites(), requestedSeconds());
         for (const auto& node : world.nodes_) {
             ASSERT_TRUE(node.disk);
             EXPECT_LE(node.disk->claims.listed().size(), 64u);
-            EXPECT_LE(node.disk->seen.size(), static_cast<size_t>(cores));
-            EXPECT_LE(node.disk->joined.size(), static_cast<size_t>(cores));
+            EXPECT_LE(node.disk->knownDisks.size(), static_cast<size_t>(cores));
+            EXPECT_LE(node.disk->joinedDisks.size(), static_cast<size_t>(cores));
         }
     }
 }
--- a/system/consensus/keeper.cpp
+++ b/system/consensus/keeper.cpp
@@ -11,13 +11,14 @@
 #include "system/consensus/durable_names.hpp"
 #include "system/consensus/durable_record.hpp"
 #include "system/consensus/kept_state.hpp"
-#include "system/consensus/no_log.hpp"
+#include "system/consensus/null_logger.hpp"
 #include "system/consensus/torn.hpp"
 
 namespace petrelpond::consensus {
 Keeper::Keeper(std::filesystem::path dataDir, int wake, const Pause& pause)
-    : parent_(std::move(dataDir)), folder_(parent_ / kFolder), wake_(wake), found_(std::optional<Durable>{}),
-      noLog_(std::make_unique<NoLog>()), names_(std::make_unique<DurableNames>(folder_)) {
+    : parent_(std::move(dataDir)), folder_(parent_ / kFolder), wake_(wake),
+      found_(std::optional<DurableState>{}), noLog_(std::make_unique<NullLogger>()),
+      names_(std::make_unique<DurableNames>(folder_)) {
     found_ = load(pause);
     thread_ = std::thread([this] { work(); });
 }
@@ -81,14 +82,14 @@
         pause(why);
 }
 
-network::Result<std::optional<Durable>> Keeper::load(const Pause& pause) {
+network::Result<std::optional<DurableState>> Keeper::load(const Pause& pause) {
     awaitCertain(pause);
     KeptState state = readKeptState(folder_);
     for (int tries = 1; tries < kReadTries && std::holds_alternative<Unreadable>(state); ++tries) {
         pause(std::get<Unreadable>(state).why);
         state = readKeptState(folder_);
     }
-    if (auto* found = std::get_if<std::optional<Durable>>(&state)) {
+    if (auto* found = std::get_if<std::optional<DurableState>>(&state)) {
         if (*found) {
             value_ = {(*found)->value.version, 0, (*found)->value.digest};
             rest_ = packRest(**found);
@@ -102,13 +103,13 @@
                             damage ? damage->why : "can't be read: " + std::get<Unreadable>(state).why};
 }
 
-std::string Keeper::write(const Save& save) {
+std::string Keeper::write(const SaveRequest& save) {
     if (!db_) {
         std::string why = open();
         if (!why.empty()) return why;
     }
     // The ballot stands with the rest: the same text under another ballot is not written again.
-    const Mark mark{save.state.value.version, 0, save.state.value.digest};
+    const ValueHeader mark{save.state.value.version, 0, save.state.value.digest};
     std::string rest = packRest(save.state);
     leveldb::WriteBatch batch;  // both parts or neither
     const bool newValue = mark.version > 0 && (!written_ || mark != value_);
@@ -133,7 +134,7 @@
     return {};
 }
 
-void Keeper::save(Save save) {
+void Keeper::save(SaveRequest save) {
     {
         const std::lock_guard lock(mutex_);
         pending_ = std::move(save);
@@ -153,7 +154,7 @@
     while (true) {
         pendingOrStop_.wait(lock, [this] { return pending_ || stop_; });
         if (!pending_) return;
-        const Save save = std::move(*pending_);
+        const SaveRequest save = std::move(*pending_);
         pending_.reset();
         lock.unlock();
         std::string why = write(save);
--- a/system/consensus/keeper.hpp
+++ b/system/consensus/keeper.hpp
@@ -29,7 +29,7 @@
   public:
     struct Outcome {
         uint64_t token = 0;  // this Save and all before it
-        bool ok = false;     // on disk and synced; else hand it to Core::saveFailed
+        bool ok = false;     // on disk and synced; else hand it to Core::handleSaveFailure
         std::string why;     // if not ok
     };
 
@@ -59,32 +59,32 @@
     // What was found at the start, once: nullopt for an empty disk, a Problem for a damaged one. Either way
     // the disk has forgotten what it promised, and the Core gets nullopt; the first save() begins the folder
     // anew.
-    network::Result<std::optional<Durable>> takeFound() { return std::move(found_); }
+    network::Result<std::optional<DurableState>> takeFound() { return std::move(found_); }
 
-    void save(Save save);            // from any thread; only the newest pending one is written
+    void save(SaveRequest save);     // from any thread; only the newest pending one is written
     std::vector<Outcome> collect();  // from any thread; in the order of tokens
 
   private:
-    network::Result<std::optional<Durable>> load(const Pause& pause);
+    network::Result<std::optional<DurableState>> load(const Pause& pause);
     void awaitCertain(const Pause& pause);
-    std::string open();              // empty: done; else why not
-    std::string write(const Save&);  // empty: done; else why not
+    std::string open();                     // empty: done; else why not
+    std::string write(const SaveRequest&);  // empty: done; else why not
     void work();
 
     const std::filesystem::path parent_, folder_;
     const int wake_;
-    network::Result<std::optional<Durable>> found_;
+    network::Result<std::optional<DurableState>> found_;
     std::unique_ptr<leveldb::Logger> noLog_;
     std::unique_ptr<DurableNames> names_;
     std::unique_ptr<leveldb::DB> db_;
     bool anew_ = false;     // what is there is of no use: remove it before the next write
     bool written_ = false;  // the two below lie on disk
     std::string rest_;
-    Mark value_;
+    ValueHeader value_;
 
     std::mutex mutex_;  // of what follows
     std::condition_variable pendingOrStop_;
-    std::optional<Save> pending_;
+    std::optional<SaveRequest> pending_;
     bool stop_ = false;
     std::vector<Outcome> outcomes_;
     std::thread thread_;  // last: it uses all the others
--- a/system/consensus/keeper_test.cpp
+++ b/system/consensus/keeper_test.cpp
@@ -40,22 +40,22 @@
             }
         }
     }
-    static Durable sample(size_t size = 300000) {
-        Durable d;
+    static DurableState sample(size_t size = 300000) {
+        DurableState d;
         d.value = {17, 99, std::string(size, 'x')};
         d.voters = {"10.0.0.1", "10.0.0.2", "10.0.0.3"};
         d.electors = d.voters;
         d.votersBallot = 513;
-        d.votersAccepted = 512;
-        d.votersOffer = d.voters;
+        d.votersAcceptedBallot = 512;
+        d.votersAcceptedOffer = d.voters;
         d.term = 7;
         d.votedFor = "10.0.0.2";
-        d.promisedTo = "10.0.0.3";
+        d.leasePromisedTo = "10.0.0.3";
         d.recovering = true;
-        d.elects = false;
+        d.mayElect = false;
         return d;
     }
-    std::optional<Durable> reopened() {
+    std::optional<DurableState> reopened() {
         Keeper keeper(dir_, wake_);
         auto found = keeper.takeFound();
         if (auto* p = std::get_if<network::Problem>(&found)) {
@@ -69,11 +69,11 @@
 };
 
 TEST_F(KeeperTest, EverythingComesBack) {
-    const Durable d = sample();
+    const DurableState d = sample();
     {
         Keeper keeper(dir_, wake_);
         auto found = keeper.takeFound();
-        ASSERT_TRUE(std::holds_alternative<std::optional<Durable>>(found));
+        ASSERT_TRUE(std::holds_alternative<std::optional<DurableState>>(found));
         EXPECT_FALSE(std::get<0>(found));
         keeper.save({1, d});
         EXPECT_TRUE(outcomeOf(keeper, 1).ok);
@@ -86,17 +86,17 @@
     EXPECT_EQ(f->voters, d.voters);
     EXPECT_EQ(f->electors, d.electors);
     EXPECT_EQ(f->votersBallot, d.votersBallot);
-    EXPECT_EQ(f->votersAccepted, d.votersAccepted);
-    EXPECT_EQ(f->votersOffer, d.votersOffer);
+    EXPECT_EQ(f->votersAcceptedBallot, d.votersAcceptedBallot);
+    EXPECT_EQ(f->votersAcceptedOffer, d.votersAcceptedOffer);
     EXPECT_EQ(f->term, d.term);
     EXPECT_EQ(f->votedFor, d.votedFor);
-    EXPECT_EQ(f->promisedTo, d.promisedTo);
+    EXPECT_EQ(f->leasePromisedTo, d.leasePromisedTo);
     EXPECT_TRUE(f->recovering);
-    EXPECT_FALSE(f->elects);
+    EXPECT_FALSE(f->mayElect);
 }
 
 TEST_F(KeeperTest, AnOldValueIsNeverFoundBesideANewTerm) {
-    Durable d = sample(1000);
+    DurableState d = sample(1000);
     uint64_t token = 0;
     {
         Keeper keeper(dir_, wake_);
@@ -118,7 +118,7 @@
 }
 
 TEST_F(KeeperTest, WhatDidNotChangeIsNotWrittenAgain) {
-    Durable d = sample();
+    DurableState d = sample();
     Keeper keeper(dir_, wake_);
     keeper.save({1, d});
     ASSERT_TRUE(outcomeOf(keeper, 1).ok);
@@ -140,7 +140,7 @@
 }
 
 TEST_F(KeeperTest, DamageIsToldAndTheNextSaveBeginsAnew) {
-    const Durable d = sample();
+    const DurableState d = sample();
     {
         Keeper keeper(dir_, wake_);
         keeper.save({1, d});
@@ -170,7 +170,7 @@
     // A file where the folder should be: fails for the superuser too.
     std::ofstream(dir_ / "file") << "no folder";
     Keeper keeper(dir_ / "file", wake_);
-    const Durable d = sample(100);
+    const DurableState d = sample(100);
     keeper.save({1, d});
     const Keeper::Outcome failed = outcomeOf(keeper, 1);
     EXPECT_FALSE(failed.ok);
@@ -183,8 +183,8 @@
 // Three saves in one log; the bytes between two places of it are lost. Places: 0 to 3 as each save ends.
 class TornTest : public KeeperTest {
   protected:
-    network::Result<std::optional<Durable>> after(size_t body, int save, double from, double to) {
-        Durable d = sample(1000);
+    network::Result<std::optional<DurableState>> after(size_t body, int save, double from, double to) {
+        DurableState d = sample(1000);
         std::vector<uintmax_t> ends{0};
         {
             Keeper keeper(dir_, wake_);
@@ -217,7 +217,7 @@
     for (const size_t body : {0, 40000, 90000}) {
         for (const auto& [from, to] : {std::pair(0.0, 0.4), {0.02, 1.0}, {0.5, 0.6}, {0.9, 1.0}}) {
             const auto found = after(body, 3, from, to);
-            ASSERT_TRUE(std::holds_alternative<std::optional<Durable>>(found))
+            ASSERT_TRUE(std::holds_alternative<std::optional<DurableState>>(found))
                 << body << " " << from << ": " << std::get<network::Problem>(found).line();
             ASSERT_TRUE(std::get<0>(found));
             EXPECT_EQ(std::get<0>(found)->term, 8u);  // as the second save had it
@@ -237,7 +237,7 @@
 
 // Issue 71: such a core was away until its disk took writes again, though it could tell what it holds.
 TEST_F(KeeperTest, ADiskThatTakesNoWritesAtTheStartTellsWhatItHolds) {
-    const Durable d = sample(1000);
+    const DurableState d = sample(1000);
     {
         Keeper keeper(dir_, wake_);
         keeper.save({1, d});
@@ -251,7 +251,7 @@
     Keeper keeper(dir_, wake_, [&](const std::string&) { ++pauses; });
     const auto found = keeper.takeFound();
     EXPECT_EQ(pauses, 0);
-    ASSERT_TRUE(std::holds_alternative<std::optional<Durable>>(found));
+    ASSERT_TRUE(std::holds_alternative<std::optional<DurableState>>(found));
     ASSERT_TRUE(std::get<0>(found));
     EXPECT_EQ(std::get<0>(found)->term, d.term);
     keeper.save({2, d});
@@ -262,7 +262,7 @@
 }
 
 TEST_F(KeeperTest, TheFolderIsNotWrittenAsItIsRead) {
-    Durable d = sample(40000);
+    DurableState d = sample(40000);
     uint64_t token = 0;
     {
         Keeper keeper(dir_, wake_);
@@ -304,7 +304,7 @@
     uintmax_t most = 0;
     {
         Keeper keeper(dir_, wake_);
-        Durable d = sample(bytes);
+        DurableState d = sample(bytes);
         for (size_t i = 1; i <= saves; ++i) {
             d.value.version = static_cast<int64_t>(i);
             for (size_t at = 0; at < bytes; at += 64) d.value.body[at] = static_cast<char>(i + at);
@@ -323,8 +323,8 @@
     EXPECT_LT(most, 12 * bytes + (4u << 20));
     Keeper again(dir_, wake_);
     const auto found = again.takeFound();
-    ASSERT_TRUE(std::holds_alternative<std::optional<Durable>>(found));
-    EXPECT_EQ(std::get<std::optional<Durable>>(found)->value.version, static_cast<int64_t>(saves));
+    ASSERT_TRUE(std::holds_alternative<std::optional<DurableState>>(found));
+    EXPECT_EQ(std::get<std::optional<DurableState>>(found)->value.version, static_cast<int64_t>(saves));
 }
 
 }  // namespace
--- a/system/consensus/kept_state.cpp
+++ b/system/consensus/kept_state.cpp
@@ -12,7 +12,7 @@
 #include "system/consensus/discard.hpp"
 #include "system/consensus/durable_names.hpp"
 #include "system/consensus/durable_record.hpp"
-#include "system/consensus/no_log.hpp"
+#include "system/consensus/null_logger.hpp"
 #include "system/consensus/torn.hpp"
 
 namespace petrelpond::consensus {
@@ -59,7 +59,7 @@
 // What a database uses for as long as it is open.
 struct Surroundings {
     CopyOnWrite files;
-    NoLog log;
+    NullLogger log;
 };
 
 Opened openedIn(Surroundings& around, const fs::path& folder) {
@@ -106,11 +106,11 @@
     const leveldb::Status valueRead = database.Get(options, kValueKey, &value);
     if (restRead.IsNotFound() && valueRead.IsNotFound()) {
         if (torn) return Damaged{"no whole record"};
-        return std::optional<Durable>{};
+        return std::optional<DurableState>{};
     }
     if (restRead.IsNotFound()) return Damaged{"rest: missing"};
     if (!restRead.ok()) return failed("rest: ", restRead);
-    std::optional<Durable> found = unpackRest(rest);
+    std::optional<DurableState> found = unpackRest(rest);
     if (!found) return Damaged{"rest: wrong checksum or form"};
     if (found->value.version == 0) return found;
     if (valueRead.IsNotFound()) return Damaged{"value: missing"};
@@ -128,13 +128,13 @@
 KeptState readKeptState(const fs::path& folder) {
     const std::optional<bool> folderThere = isThere(folder);
     if (!folderThere) return Unreadable{"look for " + folder.string()};
-    if (!*folderThere) return std::optional<Durable>{};
+    if (!*folderThere) return std::optional<DurableState>{};
     // Before LevelDB, which maps tables into memory: there a read error would end the process.
     if (!readable(folder)) return Unreadable{"read the files of " + folder.string()};
     if (isBeingDiscarded(folder)) return Damaged{"was being discarded; " + contentsOf(folder)};
     const std::optional<bool> databaseThere = isThere(folder / "CURRENT");
     if (!databaseThere) return Unreadable{"look for " + (folder / "CURRENT").string()};
-    if (!*databaseThere) return std::optional<Durable>{};  // ended before its first state was written
+    if (!*databaseThere) return std::optional<DurableState>{};  // ended before its first state was written
 
     Surroundings around;
     const Opened opened = openedWithoutTornEnds(around, folder);
--- a/system/consensus/kept_state.hpp
+++ b/system/consensus/kept_state.hpp
@@ -23,7 +23,7 @@
     std::string why;
 };
 // No Durable: no state was ever told from this folder, or it was given up.
-using KeptState = std::variant<std::optional<Durable>, Unreadable, Damaged>;
+using KeptState = std::variant<std::optional<DurableState>, Unreadable, Damaged>;
 
 KeptState readKeptState(const std::filesystem::path& folder);
 
--- a/system/consensus/lease.cpp
+++ b/system/consensus/lease.cpp
@@ -1,262 +1,270 @@
 // The lease of the one duty: ballots, terms, heartbeats.
-#include "system/consensus/core_parts.hpp"
+#include "system/consensus/core_internal.hpp"
 
 namespace petrelpond::consensus {
 
 //
 // At most one core holds at any instant: to hold needs a majority that answered something sent less than
-// `leaseTime` ago, and whoever answered votes for nobody else within a sixteenth more than `leaseTime` of
-// answering. So whoever is voted in by a majority knows one voter whose promise to each earlier holder had
-// run out. A voter follows a beat of a higher term at once: its sender was voted in by such a majority, and
-// the earlier holder, refused by it since, holds no more. After a restart it is known to whom the promise was
-// given last, not until when: so no vote for another within that time. That one gets it at once, as each may
-// always vote for whom it has promised to: a core's lease of an earlier life or ballot harms none of its own.
-// One promise is enough to know: the ones before were over as the last was given, or their holder had been
-// refused by a majority that voted in the last one.
+// `leaseDuration` ago, and whoever answered votes for nobody else within a sixteenth more than
+// `leaseDuration` of answering. So whoever is voted in by a majority knows one voter whose promise to each
+// earlier holder had run out. A voter follows a beat of a higher term at once: its sender was voted in by
+// such a majority, and the earlier holder, refused by it since, holds no more. After a restart it is known to
+// whom the promise was given last, not until when: so no vote for another within that time. That one gets it
+// at once, as each may always vote for whom it has promised to: a core's lease of an earlier life or ballot
+// harms none of its own. One promise is enough to know: the ones before were over as the last was given, or
+// their holder had been refused by a majority that voted in the last one.
 
 bool Core::wouldVote(Instant now, const NodeId& candidate) const {
-    return isMember() && (now >= promisedUntil_ || (candidate == promisedTo_ && !candidate.empty()));
+    return isMember() &&
+           (now >= leasePromisedUntil_ || (candidate == leasePromisedTo_ && !candidate.empty()));
 }
 
-void Core::setDuty(bool held, uint64_t term, const NodeId& holder, Instant until) {
-    const bool changed = held != duty_.held || term != duty_.term || holder != duty_.holder;
-    if (duty_.held && !held) {
-        beatAt_ = Instant::never();
-        beatsSent_.clear();
-        ackedAt_.clear();
-        echoes_.clear();
+void Core::setLease(bool held, uint64_t term, const NodeId& holder, Instant until) {
+    const bool changed = held != lease_.held || term != lease_.term || holder != lease_.holder;
+    if (lease_.held && !held) {
+        heartbeatAt_ = Instant::never();
+        sentHeartbeats_.clear();
+        ackedHeartbeatAt_.clear();
+        newestHeartbeatReplies_.clear();
     }
-    duty_ = {held, term, holder, until};
-    if (changed) out_.push_back(duty_);
+    lease_ = {held, term, holder, until};
+    if (changed) outputs_.push_back(lease_);
 }
 
-void Core::stand(Instant now) {
-    standAt_ = Instant::never();
-    if (standing_ != Stand::no) {  // no majority in time
-        standing_ = Stand::no;
-        standAt_ = now + Span::millis(150) + random(o_.leaseTime * 0.5);
+void Core::runElection(Instant now) {
+    electionAt_ = Instant::never();
+    if (candidacy_ != Candidacy::none) {  // no majority in time
+        candidacy_ = Candidacy::none;
+        electionAt_ = now + Span::millis(150) + randomSpan(options_.leaseDuration * 0.5);
         return;
     }
-    if (released_ || duty_.held) return;
+    if (leaving_ || lease_.held) return;
     if (!isMember()) {
-        standAt_ = now + o_.leaseTime;
+        electionAt_ = now + options_.leaseDuration;
         return;
     }
-    if (!duty_.holder.empty()) return;  // when it lapses, enter() sets the next
-    if (!wouldVote(now, o_.self)) {
-        standAt_ = promisedUntil_ + random(o_.leaseTime * 0.25);
+    if (!lease_.holder.empty()) return;  // when it lapses, enter() sets the next
+    if (!wouldVote(now, options_.self)) {
+        electionAt_ = leasePromisedUntil_ + randomSpan(options_.leaseDuration * 0.25);
         return;
     }
     // First only asked whether they would: against a core that nobody hears, or only few, and that would
     // drive the term up and so put down the living holder once it is heard again.
-    askVotes(now, Stand::probing);
+    requestVotes(now, Candidacy::preVoting);
 }
 
-void Core::askVotes(Instant now, Stand how) {
-    standing_ = how;
-    standNumber_ = ++number_;
-    standSince_ = now;
-    standTerm_ = std::max(mem_.term, highestTerm_) + 1;
-    if (o_.defect == Defect::fenceStays) standTerm_ = std::max<uint64_t>(standTerm_ - 1, 1);
-    standAt_ = now + ballotTime(o_);
+void Core::requestVotes(Instant now, Candidacy candidacy) {
+    candidacy_ = candidacy;
+    voteRequestId_ = ++lastRequestId_;
+    candidacyStartedAt_ = now;
+    candidateTerm_ = std::max(state_.term, highestTerm_) + 1;
+    if (options_.defect == Defect::reusesTerm) candidateTerm_ = std::max<uint64_t>(candidateTerm_ - 1, 1);
+    electionAt_ = now + electionTimeout(options_);
     votes_.clear();
-    if (how == Stand::asking) {
+    if (candidacy == Candidacy::voting) {
         // Saved before it is told: against a restart after which the same term would be won a second time.
-        mem_.term = standTerm_;
-        mem_.votedFor = o_.self;
-        touch();
-        termToken_ = nextToken();
+        state_.term = candidateTerm_;
+        state_.votedFor = options_.self;
+        markDirty();
+        termSaveToken_ = nextToken();
     }
-    const Message m = ballot();
-    for (const NodeId& n : mem_.voters) sendAfter(termToken_, n, m);
+    const Message m = makeVoteRequest();
+    for (const NodeId& n : state_.voters) sendAfterSave(termSaveToken_, n, m);
 }
 
-Message Core::ballot() const {
-    Message m = make(standing_ == Stand::probing ? Kind::voteProbe : Kind::voteAsk, standNumber_);
-    m.term = standTerm_;
+Message Core::makeVoteRequest() const {
+    Message m = makeMessage(
+        candidacy_ == Candidacy::preVoting ? MessageKind::preVoteRequest : MessageKind::voteRequest,
+        voteRequestId_);
+    m.term = candidateTerm_;
     return m;
 }
 
-// What is told of it waits for termToken_: then it is on disk to whom.
-void Core::promise(Instant now, const NodeId& to, uint64_t term) {
-    const bool stale = o_.defect == Defect::stalePromise && !mem_.promisedTo.empty();
-    if (mem_.promisedTo != to && !stale) {
-        mem_.promisedTo = to;
-        touch();
-        termToken_ = nextToken();
+// What is told of it waits for termSaveToken_: then it is on disk to whom.
+void Core::promiseLease(Instant now, const NodeId& to, uint64_t term) {
+    const bool stale = options_.defect == Defect::stalePromise && !state_.leasePromisedTo.empty();
+    if (state_.leasePromisedTo != to && !stale) {
+        state_.leasePromisedTo = to;
+        markDirty();
+        termSaveToken_ = nextToken();
     }
-    promisedTo_ = to;
-    promisedTerm_ = term;
-    promisedUntil_ = std::max(promisedUntil_, now + promised());
+    leasePromisedTo_ = to;
+    leasePromiseTerm_ = term;
+    leasePromisedUntil_ = std::max(leasePromisedUntil_, now + promiseDuration());
 }
 
-void Core::sendBeats(Instant now) {
-    beatAt_ = now + o_.beat;
-    const uint64_t number = ++number_;
-    while (!beatsSent_.empty() && now - beatsSent_.begin()->second > o_.leaseTime) {
-        beatsSent_.erase(beatsSent_.begin());
+void Core::sendHeartbeats(Instant now) {
+    heartbeatAt_ = now + options_.heartbeatInterval;
+    const uint64_t requestId = ++lastRequestId_;
+    while (!sentHeartbeats_.empty() && now - sentHeartbeats_.begin()->second > options_.leaseDuration) {
+        sentHeartbeats_.erase(sentHeartbeats_.begin());
     }
-    beatsSent_[number] = now;
-    Message m = make(Kind::beat, number);
-    m.term = duty_.term;
+    sentHeartbeats_[requestId] = now;
+    Message m = makeMessage(MessageKind::heartbeat, requestId);
+    m.term = lease_.term;
     for (const auto& [node, peer] : peers_) {
-        const auto echo = echoes_.find(node);
-        m.echo = echo == echoes_.end() ? 0 : echo->second;
+        const auto echo = newestHeartbeatReplies_.find(node);
+        m.echoedHeartbeatId = echo == newestHeartbeatReplies_.end() ? 0 : echo->second;
         send(node, m);
     }
-    m.echo = 0;
-    send(o_.self, std::move(m));
+    m.echoedHeartbeatId = 0;
+    send(options_.self, std::move(m));
 }
 
-bool Core::inContact(Instant now) const {
-    if (duty_.held) return now < duty_.validUntil;
-    return isMember() && now - contactAt_ <= o_.contact;
+bool Core::isInContact(Instant now) const {
+    if (lease_.held) return now < lease_.validUntil;
+    return isMember() && now - contactAt_ <= options_.contactTimeout;
 }
 
-bool Core::cutOff(Instant now) const {
-    if (mem_.voters.empty() || now - startedAt_ <= o_.absence) return false;
-    const auto heard = std::count_if(mem_.voters.begin(), mem_.voters.end(),
-                                     [&](const NodeId& n) { return n == o_.self || isHere(now, n); });
+bool Core::isCutOff(Instant now) const {
+    if (state_.voters.empty() || now - startedAt_ <= options_.absenceTimeout) return false;
+    const auto heard = std::count_if(state_.voters.begin(), state_.voters.end(), [&](const NodeId& n) {
+        return n == options_.self || isReachable(now, n);
+    });
     return static_cast<size_t>(heard) < majority();
 }
 
 // Against a core that hears the holder and is not heard: every heartbeat would look like contact. The holder
 // sends none once its lease is over, so at the instant of our answer that it has it stood in contact with a
 // majority.
-void Core::noteEcho(Instant now, uint64_t echo) {
-    if (o_.defect == Defect::staysInContact) contactAt_ = now;
-    const auto answered = beatsAnswered_.find(echo);
-    if (answered == beatsAnswered_.end()) return;
-    const bool fromHearing = o_.defect == Defect::contactThroughFreeze;
+void Core::noteEchoedHeartbeat(Instant now, uint64_t echo) {
+    if (options_.defect == Defect::countsEveryHeartbeatAsContact) contactAt_ = now;
+    const auto answered = answeredHeartbeats_.find(echo);
+    if (answered == answeredHeartbeats_.end()) return;
+    const bool fromHearing = options_.defect == Defect::contactFromReceipt;
     contactAt_ = std::max(contactAt_, fromHearing ? now : answered->second);
-    beatsAnswered_.erase(beatsAnswered_.begin(), std::next(answered));
+    answeredHeartbeats_.erase(answeredHeartbeats_.begin(), std::next(answered));
 }
 
 void Core::renewLease(Instant now) {
     std::vector<Instant> sent;
-    for (const NodeId& n : mem_.voters) {
-        const auto it = ackedAt_.find(n);
-        if (it != ackedAt_.end()) sent.push_back(it->second);
+    for (const NodeId& n : state_.voters) {
+        const auto it = ackedHeartbeatAt_.find(n);
+        if (it != ackedHeartbeatAt_.end()) sent.push_back(it->second);
     }
     if (sent.size() < majority()) return;
     std::sort(sent.rbegin(), sent.rend());
-    const Instant until = sent[majority() - 1] + o_.leaseTime;
-    if (until > now) duty_.validUntil = std::max(duty_.validUntil, until);
+    const Instant until = sent[majority() - 1] + options_.leaseDuration;
+    if (until > now) lease_.validUntil = std::max(lease_.validUntil, until);
 }
 
-void Core::hearDuty(Instant now, const NodeId& from, const Message& m) {
+void Core::handleLeaseMessage(Instant now, const NodeId& from, const Message& m) {
     switch (m.kind) {
-        case Kind::beat: {
-            const bool own = from == o_.self;
-            if (own && !duty_.held) return;
-            Message back = make(Kind::beatBack, m.number);
-            if (m.term < mem_.term) {  // a vote went to a later term: tell the holder, it must catch up
-                if (isMember()) sendAfter(termToken_, from, std::move(back));
+        case MessageKind::heartbeat: {
+            const bool own = from == options_.self;
+            if (own && !lease_.held) return;
+            Message back = makeMessage(MessageKind::heartbeatReply, m.requestId);
+            if (m.term < state_.term) {  // a vote went to a later term: tell the holder, it must catch up
+                if (isMember()) sendAfterSave(termSaveToken_, from, std::move(back));
                 return;
             }
-            if (!own && m.term >= duty_.term) {
-                if (duty_.held) standing_ = Stand::no;
-                setDuty(false, m.term, from, now + o_.leaseTime);
+            if (!own && m.term >= lease_.term) {
+                if (lease_.held) candidacy_ = Candidacy::none;
+                setLease(false, m.term, from, now + options_.leaseDuration);
             }
             if (!isMember()) return;
-            if (m.term > mem_.term) {
-                mem_.term = m.term;
-                mem_.votedFor = nobody;
-                touch();
-                termToken_ = nextToken();
+            if (m.term > state_.term) {
+                state_.term = m.term;
+                state_.votedFor = kNoCandidate;
+                markDirty();
+                termSaveToken_ = nextToken();
             }
-            promise(now, from, m.term);
-            back.yes = true;
+            promiseLease(now, from, m.term);
+            back.granted = true;
             back.term = m.term;
-            noteEcho(now, m.echo);
-            beatsAnswered_[m.number] = now;
-            std::erase_if(beatsAnswered_, [&](const auto& one) { return now - one.second > o_.contact; });
-            return sendAfter(termToken_, from, std::move(back));
+            noteEchoedHeartbeat(now, m.echoedHeartbeatId);
+            answeredHeartbeats_[m.requestId] = now;
+            std::erase_if(answeredHeartbeats_,
+                          [&](const auto& one) { return now - one.second > options_.contactTimeout; });
+            return sendAfterSave(termSaveToken_, from, std::move(back));
         }
-        case Kind::beatBack: {
-            if (!duty_.held || !isVoter(from)) return;
-            if (!m.yes) {
+        case MessageKind::heartbeatReply: {
+            if (!lease_.held || !isVoter(from)) return;
+            if (!m.granted) {
                 // Held on until it lapses, but under a higher number as soon as a majority agrees.
-                if (m.term > duty_.term && standing_ == Stand::no && isMember() && !released_)
-                    askVotes(now, Stand::asking);
+                if (m.term > lease_.term && candidacy_ == Candidacy::none && isMember() && !leaving_)
+                    requestVotes(now, Candidacy::voting);
                 return;
             }
-            const auto it = beatsSent_.find(m.number);
-            if (it == beatsSent_.end() || m.term != duty_.term) return;
-            echoes_[from] = std::max(echoes_[from], m.number);
-            const Instant since = o_.defect == Defect::leaseFromAnswer ? now : it->second;
-            auto [at, fresh] = ackedAt_.emplace(from, since);
+            const auto it = sentHeartbeats_.find(m.requestId);
+            if (it == sentHeartbeats_.end() || m.term != lease_.term) return;
+            newestHeartbeatReplies_[from] = std::max(newestHeartbeatReplies_[from], m.requestId);
+            const Instant since = options_.defect == Defect::leaseFromReply ? now : it->second;
+            auto [at, fresh] = ackedHeartbeatAt_.emplace(from, since);
             if (!fresh) at->second = std::max(at->second, since);
             return renewLease(now);
         }
-        case Kind::release:
-            if (promisedTo_ == from && promisedTerm_ == m.term) {
-                promisedTo_.clear();
-                promisedUntil_ = now;
+        case MessageKind::release:
+            if (leasePromisedTo_ == from && leasePromiseTerm_ == m.term) {
+                leasePromisedTo_.clear();
+                leasePromisedUntil_ = now;
             }
-            if (!duty_.held && duty_.holder == from && duty_.term == m.term) {
-                setDuty(false, duty_.term, {}, Instant::longAgo());
-                standAt_ = std::max(now, promisedUntil_) + random(o_.beat);
+            if (!lease_.held && lease_.holder == from && lease_.term == m.term) {
+                setLease(false, lease_.term, {}, Instant::longAgo());
+                electionAt_ = std::max(now, leasePromisedUntil_) + randomSpan(options_.heartbeatInterval);
             }
             return;
-        case Kind::voteProbe:
-        case Kind::voteAsk: {
-            const bool probe = m.kind == Kind::voteProbe;
+        case MessageKind::preVoteRequest:
+        case MessageKind::voteRequest: {
+            const bool probe = m.kind == MessageKind::preVoteRequest;
             if (!isMember()) return;
-            Message back = make(probe ? Kind::voteProbeBack : Kind::vote, m.number);
-            const bool free = m.term > mem_.term || (m.term == mem_.term && mem_.votedFor == from) ||
-                              (m.term == mem_.term && o_.defect == Defect::fenceStays);
-            back.yes = free && wouldVote(now, from);
-            if (back.yes && !probe) {
-                mem_.term = m.term;
-                mem_.votedFor = from;
-                touch();
-                termToken_ = nextToken();
-                promise(now, from, m.term);
+            Message back =
+                makeMessage(probe ? MessageKind::preVoteReply : MessageKind::voteReply, m.requestId);
+            const bool free = m.term > state_.term || (m.term == state_.term && state_.votedFor == from) ||
+                              (m.term == state_.term && options_.defect == Defect::reusesTerm);
+            back.granted = free && wouldVote(now, from);
+            if (back.granted && !probe) {
+                state_.term = m.term;
+                state_.votedFor = from;
+                markDirty();
+                termSaveToken_ = nextToken();
+                promiseLease(now, from, m.term);
                 back.term = m.term;
             }
-            return sendAfter(termToken_, from, std::move(back));
+            return sendAfterSave(termSaveToken_, from, std::move(back));
         }
-        case Kind::voteProbeBack:
-        case Kind::vote: {
-            const Stand how = m.kind == Kind::vote ? Stand::asking : Stand::probing;
-            if (standing_ != how || m.number != standNumber_ || !m.yes || !isVoter(from)) return;
-            if (now - standSince_ > ballotTime(o_) || released_) return;
+        case MessageKind::preVoteReply:
+        case MessageKind::voteReply: {
+            const Candidacy candidacy =
+                m.kind == MessageKind::voteReply ? Candidacy::voting : Candidacy::preVoting;
+            if (candidacy_ != candidacy || m.requestId != voteRequestId_ || !m.granted || !isVoter(from))
+                return;
+            if (now - candidacyStartedAt_ > electionTimeout(options_) || leaving_) return;
             votes_.insert(from);
             if (votes_.size() < majority()) return;
-            if (how == Stand::probing) return askVotes(now, Stand::asking);
-            standing_ = Stand::no;
-            standAt_ = Instant::never();
-            ackedAt_.clear();
-            beatsSent_.clear();
-            for (const NodeId& n : votes_) ackedAt_[n] = standSince_;
-            setDuty(true, standTerm_, o_.self, standSince_ + o_.leaseTime);
-            return sendBeats(now);
+            if (candidacy == Candidacy::preVoting) return requestVotes(now, Candidacy::voting);
+            candidacy_ = Candidacy::none;
+            electionAt_ = Instant::never();
+            ackedHeartbeatAt_.clear();
+            sentHeartbeats_.clear();
+            for (const NodeId& n : votes_) ackedHeartbeatAt_[n] = candidacyStartedAt_;
+            setLease(true, candidateTerm_, options_.self, candidacyStartedAt_ + options_.leaseDuration);
+            return sendHeartbeats(now);
         }
         default:
             return;
     }
 }
 
-void Core::giveUpLease() {
-    Message m = make(Kind::release);
-    m.term = duty_.term;
-    setDuty(false, duty_.term, {}, Instant::longAgo());
-    toPeers(m);
+void Core::releaseLease() {
+    Message m = makeMessage(MessageKind::release);
+    m.term = lease_.term;
+    setLease(false, lease_.term, {}, Instant::longAgo());
+    sendToPeers(m);
 }
 
-void Core::release(Instant now) {
-    enter(now);
-    if (!released_) sureAtRelease_ = sureMark_;
-    released_ = true;
-    standing_ = Stand::no;
-    standAt_ = Instant::never();
+void Core::beginLeave(Instant now) {
+    beginInput(now);
+    if (!leaving_) chosenAtLeave_ = chosenHeader_;
+    leaving_ = true;
+    candidacy_ = Candidacy::none;
+    electionAt_ = Instant::never();
     // The holder gives its own place away before it gives up the lease: another would first have to win it.
     // It then gives it up as it learns of the new voters.
-    if (duty_.held) replaceAbsent(now);
-    if (duty_.held && !change_ && vacancyProbe_ == 0) giveUpLease();
-    for (const auto& [node, peer] : peers_) sayHello(node, Kind::hello);  // that our place is free
-    leave(now);
+    if (lease_.held) replaceAbsentVoter(now);
+    if (lease_.held && !pendingChange_ && vacancyProbe_ == 0) releaseLease();
+    for (const auto& [node, peer] : peers_) sendHello(node, MessageKind::hello);  // that our place is free
+    endInput(now);
 }
 
 }  // namespace petrelpond::consensus
--- a/system/consensus/lease_test.cpp
+++ b/system/consensus/lease_test.cpp
@@ -2,20 +2,20 @@
 // names.
 #include <gtest/gtest.h>
 
-#include "system/consensus/sim_for_test.hpp"
+#include "system/consensus/world_for_test.hpp"
 
 namespace petrelpond::consensus {
 namespace {
 
-TEST(Core, ReleaseHandsTheDutyOverAtOnce) {
+TEST(Core, BeginLeaveHandsTheLeaseOverAtOnce) {
     sim::World w({3, 5, 1, Defect::none, false, 15});
     w.at(sim::World::millis(10000), [&] {
         const int h = w.holder();
         ASSERT_GE(h, 0);
-        w.nodes_[static_cast<size_t>(h)].core->release(w.clock(static_cast<size_t>(h)));
+        w.nodes_[static_cast<size_t>(h)].core->beginLeave(w.clock(static_cast<size_t>(h)));
         w.drain(static_cast<size_t>(h));
         EXPECT_EQ(w.holder(), -1);
-        w.at(sim::World::millis(400), [&w, h] {  // far less than the leaseTime of 1200 ms
+        w.at(sim::World::millis(400), [&w, h] {  // far less than the leaseDuration of 1200 ms
             EXPECT_GE(w.holder(), 0);
             EXPECT_NE(w.holder(), h);
         });
@@ -24,7 +24,7 @@
 }
 
 // Where all start anew the last holder is voted for before the promises to it are over, and it alone.
-TEST(Core, AfterAStartOfAllTheLastHolderHasTheDutyBackSooner) {
+TEST(Core, AfterAFullRestartTheLastHolderRegainsTheLeaseSooner) {
     for (const bool without : {false, true}) {
         sim::World w({7, 5, 1, Defect::none, false, 15});
         w.loss_ = 0;
@@ -44,7 +44,7 @@
     }
 }
 
-TEST(Core, AHolderThatWakesFromAFreezeFirstSaysThatItHoldsNoMore) {
+TEST(Core, AfterAFreezeAHolderFirstReportsTheExpiredLease) {
     sim::World w({4, 5, 1, Defect::none, false, 20});
     w.at(sim::World::millis(10000), [&] {
         const int h = w.holder();
@@ -52,21 +52,21 @@
         sim::World::Node& n = w.nodes_[static_cast<size_t>(h)];
         n.frozenUntil = w.now_ + sim::World::millis(5000);
         w.at(sim::World::millis(4900), [&w, &n, h] {
-            EXPECT_TRUE(n.core->duty().held);  // as it still thinks
-            EXPECT_GT(w.clock(static_cast<size_t>(h)), n.core->duty().validUntil);
+            EXPECT_TRUE(n.core->lease().held);  // as it still thinks
+            EXPECT_GT(w.clock(static_cast<size_t>(h)), n.core->lease().validUntil);
             const auto value = std::make_shared<const Value>(Value{1, 1, "x"});
             n.core->write(w.clock(static_cast<size_t>(h)), 1u << 30, value);
-            const auto first = n.core->next();
+            const auto first = n.core->nextOutput();
             ASSERT_TRUE(first);
-            const Duty* d = std::get_if<Duty>(&*first);
+            const Lease* d = std::get_if<Lease>(&*first);
             ASSERT_TRUE(d);
             EXPECT_FALSE(d->held);
-            while (n.core->next()) {
+            while (n.core->nextOutput()) {
             }
             n.frozenUntil = 0;
             bool another = false;
             for (size_t i = 0; i < w.nodes_.size(); ++i) {
-                another |= static_cast<int>(i) != h && w.nodes_[i].core->duty().held;
+                another |= static_cast<int>(i) != h && w.nodes_[i].core->lease().held;
             }
             EXPECT_TRUE(another);
         });
@@ -75,14 +75,14 @@
 }
 
 // A core that nobody heard for long must not put down the living holder when it is heard again.
-TEST(Core, ACutOffCoreComesBackWithoutDisturbingTheHolder) {
+TEST(Core, AnIsolatedCoreReturnsWithoutDisturbingTheHolder) {
     sim::World w({5, 5, 1, Defect::none, false, 25});
     int before = -1;
     uint64_t term = 0;
     w.at(sim::World::millis(10000), [&] {
         before = w.holder();
         ASSERT_GE(before, 0);
-        term = w.nodes_[static_cast<size_t>(before)].core->duty().term;
+        term = w.nodes_[static_cast<size_t>(before)].core->lease().term;
         const size_t out = before == 0 ? 1 : 0;
         for (size_t i = 0; i < 5; ++i) {
             w.cut_.insert({i, out});
@@ -97,9 +97,9 @@
 
 // A member that is cut off for twenty seconds: within two it says so, it confirms and reads nothing, and it
 // is back soon after. Cut one way alone, so that it hears the heartbeats and is not heard, all the same.
-std::string cutOffForTwentySeconds(Defect defect, bool oneWay) {
+std::string isolateForTwentySeconds(Defect defect, bool oneWay) {
     sim::Plan plan{9, 3, 1, defect, false, 35, false};
-    plan.spans = true;
+    plan.serviceTimings = true;
     sim::World w(plan);
     w.loss_ = 0;
     std::string wrong;
@@ -109,7 +109,7 @@
     size_t out = 0;
     w.at(sim::World::millis(8000), [&] {
         out = (static_cast<size_t>(w.holder()) + 1) % 3;
-        expect(w.nodes_[out].core->inContact(w.clock(out)), "out of contact at rest");
+        expect(w.nodes_[out].core->isInContact(w.clock(out)), "out of contact at rest");
         for (size_t k = 0; k < 3; ++k) {
             if (k == out) continue;
             w.cut_.insert({out, k});
@@ -118,9 +118,10 @@
     });
     for (int64_t at = 10500; at < 28000; at += 500) {
         w.at(sim::World::millis(at), [&, at] {
-            expect(!w.nodes_[out].core->inContact(w.clock(out)), "in contact while cut off");
-            if (!oneWay) expect(w.nodes_[out].core->cutOff(w.clock(out)), "does not know that it is cut off");
-            w.writeAt(out, w.textOf(at));
+            expect(!w.nodes_[out].core->isInContact(w.clock(out)), "in contact while cut off");
+            if (!oneWay)
+                expect(w.nodes_[out].core->isCutOff(w.clock(out)), "does not know that it is cut off");
+            w.writeAt(out, w.randomValue(at));
         });
     }
     w.at(sim::World::millis(27990), [&] {
@@ -129,26 +130,27 @@
     });
     w.at(sim::World::millis(30000), [&] {
         for (size_t i = 0; i < 3; ++i) {
-            expect(w.nodes_[i].core->inContact(w.clock(i)), "not in contact again");
-            expect(!w.nodes_[i].core->cutOff(w.clock(i)), "takes itself for cut off");
+            expect(w.nodes_[i].core->isInContact(w.clock(i)), "not in contact again");
+            expect(!w.nodes_[i].core->isCutOff(w.clock(i)), "takes itself for cut off");
         }
     });
     const std::string broken = w.run();
     return wrong.empty() ? broken : wrong;
 }
-TEST(Core, AMemberThatIsCutOffKnowsItAndConfirmsNothing) {
-    EXPECT_EQ(cutOffForTwentySeconds(Defect::none, false), "");
-    EXPECT_EQ(cutOffForTwentySeconds(Defect::none, true), "");
+TEST(Core, AnIsolatedMemberKnowsItAndConfirmsNothing) {
+    EXPECT_EQ(isolateForTwentySeconds(Defect::none, false), "");
+    EXPECT_EQ(isolateForTwentySeconds(Defect::none, true), "");
 }
-TEST(Core, AMemberThatTakesEveryHeartbeatForContactIsCaught) {
-    EXPECT_EQ(cutOffForTwentySeconds(Defect::staysInContact, true), "in contact while cut off");
+TEST(Core, CatchesCountingEveryHeartbeatAsContact) {
+    EXPECT_EQ(isolateForTwentySeconds(Defect::countsEveryHeartbeatAsContact, true),
+              "in contact while cut off");
 }
 
 // A core that wakes from a freeze is out of contact until a holder has heard it again.
 // The heartbeats that came meanwhile tell of answers that it gave before.
-bool inContactAsItWakes(Defect defect) {
+bool isInContactOnWakeup(Defect defect) {
     sim::Plan plan{9, 3, 1, defect, false, 20, false};
-    plan.spans = true;
+    plan.serviceTimings = true;
     sim::World w(plan);
     w.loss_ = 0;
     bool inContact = false;
@@ -157,30 +159,30 @@
         const int64_t wakes = sim::World::millis(5000);
         w.nodes_[asleep].frozenUntil = w.now_ + wakes;
         const auto look = [&w, &inContact, asleep] {
-            inContact = inContact || w.nodes_[asleep].core->inContact(w.clock(asleep));
+            inContact = inContact || w.nodes_[asleep].core->isInContact(w.clock(asleep));
         };
         w.at(wakes - sim::World::millis(10), look);
         for (int64_t after = 0; after < 3; ++after) w.at(wakes + sim::World::millis(after), look);
         w.at(sim::World::millis(6000),
-             [&w, asleep] { EXPECT_TRUE(w.nodes_[asleep].core->inContact(w.clock(asleep))); });
+             [&w, asleep] { EXPECT_TRUE(w.nodes_[asleep].core->isInContact(w.clock(asleep))); });
     });
     EXPECT_EQ(w.run(), "");
     return inContact;
 }
-TEST(Core, AMemberThatWakesIsOutOfContactUntilItIsHeard) {
-    EXPECT_FALSE(inContactAsItWakes(Defect::none));
-    EXPECT_TRUE(inContactAsItWakes(Defect::contactThroughFreeze));
+TEST(Core, AMemberThatWakesIsOutOfContactUntilItsReplyArrives) {
+    EXPECT_FALSE(isInContactOnWakeup(Defect::none));
+    EXPECT_TRUE(isInContactOnWakeup(Defect::contactFromReceipt));
 }
 
 // The holder sends a heartbeat and sleeps for most of its lease, is cut off, and hears on waking what was
 // answered before: its lease runs from when it asked, so that it is over before the others may vote for
 // another.
-std::string sleepsThenIsCutOff(Defect defect) {
+std::string sleepThenIsolate(Defect defect) {
     sim::World w({9, 3, 1, defect, false, 20, false});
     w.loss_ = 0;
     bool asleep = false;
-    w.drops_ = [&](size_t holder, size_t, const Message& m) {
-        if (asleep || m.kind != Kind::beat || w.now_ < sim::World::millis(8000)) return false;
+    w.dropMessage_ = [&](size_t holder, size_t, const Message& m) {
+        if (asleep || m.kind != MessageKind::heartbeat || w.now_ < sim::World::millis(8000)) return false;
         asleep = true;
         const int64_t sleep = sim::World::millis(900);
         w.nodes_[holder].frozenUntil = w.now_ + sleep;
@@ -192,9 +194,9 @@
     };
     return w.run();
 }
-TEST(Core, ALeaseRunsFromWhenItWasAskedFor) {
-    EXPECT_EQ(sleepsThenIsCutOff(Defect::none), "");
-    EXPECT_NE(sleepsThenIsCutOff(Defect::leaseFromAnswer).find("two hold the duty"), std::string::npos);
+TEST(Core, ALeaseRunsFromWhenTheHeartbeatWasSent) {
+    EXPECT_EQ(sleepThenIsolate(Defect::none), "");
+    EXPECT_NE(sleepThenIsolate(Defect::leaseFromReply).find("two hold the duty"), std::string::npos);
 }
 
 }  // namespace
--- a/system/consensus/losses_for_test.hpp
+++ b/system/consensus/loss_schedule_for_test.hpp
@@ -10,40 +10,43 @@
 #include <functional>
 #include <vector>
 
-#include "system/consensus/sim_for_test.hpp"
+#include "system/consensus/world_for_test.hpp"
 
 namespace petrelpond::consensus::sim {
 
-class Losses {
+class LossSchedule {
   public:
     static constexpr int64_t kCatchUpMillis = 4000;
-    static constexpr int64_t kDarkMillis = 2000;     // the longest that a loss of power takes a machine away
+    static constexpr int64_t kPowerLossMillis =
+        2000;                                        // the longest that a loss of power takes a machine away
     static constexpr int64_t kHandOverMillis = 300;  // until the place of a member that leaves is taken over
     static constexpr int64_t kGraceMillis = 5000;    // from the word to leave to the kill
-    static constexpr int kMostLosses = 2;  // of any plan: a core that hears all but so many is not cut off
+    static constexpr int kMaxLosses = 2;  // of any plan: a core that hears all but so many is not cut off
 
-    explicit Losses(World& world) : world_(world), nextSpare_(static_cast<size_t>(world.plan_.cores)) {
-        for (size_t i = nextSpare_; i < world_.nodes_.size(); ++i) world_.nodes_[i].gone = true;
-        world_.losses_ = [this] { later(World::millis(3000 + world_.below(3000)), [this] { strike(); }); };
-        later(0, [this] { judgeReserve(); });
-        if (world_.plan_.diskTroubles) later(World::millis(4000), [this] { troubleDisk(); });
-        world_.votersChange_ = [this](const auto& before, const auto& after) {
+    explicit LossSchedule(World& world) : world_(world), nextSpare_(static_cast<size_t>(world.plan_.cores)) {
+        for (size_t i = nextSpare_; i < world_.nodes_.size(); ++i) world_.nodes_[i].removed = true;
+        world_.beginLosses_ = [this] {
+            later(World::millis(3000 + world_.below(3000)), [this] { injectLoss(); });
+        };
+        later(0, [this] { checkReserve(); });
+        if (world_.plan_.diskFaults) later(World::millis(4000), [this] { disturbDisk(); });
+        world_.onVotersChange_ = [this](const auto& before, const auto& after) {
             for (const NodeId& node : before) {
                 if (!World::contains(after, node)) countReplaced(node);
             }
         };
-        world_.acknowledged_ = [this] {
+        world_.onAcknowledged_ = [this] {
             if (!world_.chance(0.02)) return;
             later(0, [this] { world_.chance(0.5) ? loseDisk() : losePower(); });
         };
     }
     int replaced() const { return replaced_; }
     int disksLost() const { return disksLost_; }
-    int disksTroubled() const { return disksTroubled_; }
+    int disksDisturbed() const { return disksDisturbed_; }
     // Voters whose place was given away though they were there: cut off or frozen at that moment, or lately
     // started anew; and though nothing at all was wrong with them.
-    int pausedReplaced() const { return pausedReplaced_; }
-    int wellReplaced() const { return wellReplaced_; }
+    int pausedVotersReplaced() const { return pausedVotersReplaced_; }
+    int healthyVotersReplaced() const { return healthyVotersReplaced_; }
 
   private:
     void later(int64_t delay, std::function<void()> f) {
@@ -52,8 +55,8 @@
         });
     }
     int lost() const {
-        return static_cast<int>(
-            std::count_if(until_.begin(), until_.end(), [this](int64_t end) { return end > world_.now_; }));
+        return static_cast<int>(std::count_if(lossEnds_.begin(), lossEnds_.end(),
+                                              [this](int64_t end) { return end > world_.now_; }));
     }
     bool mayLose() const {
         return !world_.voterSets_.empty() && world_.now_ > allBackAt_ && lost() < world_.plan_.losses;
@@ -61,22 +64,22 @@
     // Of all machines; each counts as lost until it has caught up.
     void losePower() {
         world_.powerLoss();
-        allBackAt_ = world_.now_ + World::millis(kDarkMillis + kCatchUpMillis);
+        allBackAt_ = world_.now_ + World::millis(kPowerLossMillis + kCatchUpMillis);
     }
-    void count(int64_t backAfter) {
-        until_.push_back(world_.now_ + backAfter + World::millis(kCatchUpMillis));
+    void countLoss(int64_t backAfter) {
+        lossEnds_.push_back(world_.now_ + backAfter + World::millis(kCatchUpMillis));
     }
     // A machine that is on the newest voters, or any that is there.
     size_t victim() {
         std::vector<size_t> there;
         for (size_t i = 0; i < world_.nodes_.size(); ++i) {
-            if (!world_.nodes_[i].gone && !leaving(i)) there.push_back(i);
+            if (!world_.nodes_[i].removed && !leaving(i)) there.push_back(i);
         }
         return there[static_cast<size_t>(world_.below(static_cast<int64_t>(there.size())))];
     }
     bool leaving(size_t i) const { return std::find(leaving_.begin(), leaving_.end(), i) != leaving_.end(); }
 
-    void strike() {
+    void injectLoss() {
         const int64_t kind = world_.below(100);
         if (kind < 35) {
             replace();
@@ -92,13 +95,13 @@
             losePower();
         }
         later(World::millis(world_.chance(0.3) ? world_.below(100) : world_.below(5000)),
-              [this] { strike(); });
+              [this] { injectLoss(); });
     }
 
     // Between changes: whatever further losses are still promised, the worst of them leave a majority of the
     // voters, and every majority of what they leave holds somebody who knows what was acknowledged.
-    void judgeReserve() {
-        later(World::millis(50), [this] { judgeReserve(); });
+    void checkReserve() {
+        later(World::millis(50), [this] { checkReserve(); });
         if (world_.voterSets_.empty() || world_.now_ <= allBackAt_ || changing()) return;
         const auto& voters = world_.voterSets_.rbegin()->second;
         const int majority = static_cast<int>(voters.size()) / 2 + 1;
@@ -108,7 +111,7 @@
             const World::Node& n = world_.nodes_[i];
             if (!World::contains(voters, n.id) || !countsNow(i)) continue;
             ++able;
-            holding += n.disk->value.version >= world_.acked_.version;
+            holding += n.disk->value.version >= world_.acknowledged_.version;
         }
         if (able - further < majority) {
             world_.fail(std::to_string(able) + " of " + std::to_string(voters.size()) +
@@ -116,18 +119,18 @@
         }
         if (holding <= further || able - holding >= majority) {
             world_.fail(std::to_string(holding) + " of " + std::to_string(able) +
-                        " whole voters hold version " + std::to_string(world_.acked_.version));
+                        " whole voters hold version " + std::to_string(world_.acknowledged_.version));
         }
     }
     // Its disk is there and promises something, and the others can hear it.
     bool countsNow(size_t i) const {
         const World::Node& n = world_.nodes_[i];
-        return !n.gone && n.disk && !n.disk->recovering && !unheard(i);
+        return !n.removed && n.disk && !n.disk->recovering && !unheard(i);
     }
     bool unheard(size_t i) const {
         const auto cut = std::count_if(world_.cut_.begin(), world_.cut_.end(),
                                        [i](const auto& pair) { return pair.first == i; });
-        return cut > kMostLosses || world_.now_ < world_.nodes_[i].frozenUntil;
+        return cut > kMaxLosses || world_.now_ < world_.nodes_[i].frozenUntil;
     }
     // A voter that can be heard has not taken the newest voters over yet, or one that leaves has not yet
     // ended.
@@ -135,9 +138,9 @@
         const auto& voters = world_.voterSets_.rbegin()->second;
         for (size_t i = 0; i < world_.nodes_.size(); ++i) {
             const World::Node& n = world_.nodes_[i];
-            if (n.gone || unheard(i) || !World::contains(voters, n.id)) continue;
+            if (n.removed || unheard(i) || !World::contains(voters, n.id)) continue;
             if (leaving(i)) return true;
-            if (n.disk && (n.disk->entering > 0 || n.disk->epoch != world_.lastEpoch_)) return true;
+            if (n.disk && (n.disk->takeoverState > 0 || n.disk->epoch != world_.newestEpoch_)) return true;
         }
         return false;
     }
@@ -145,9 +148,9 @@
     void countReplaced(const NodeId& node) {
         for (size_t i = 0; i < world_.nodes_.size(); ++i) {
             const World::Node& n = world_.nodes_[i];
-            if (n.id != node || n.gone || leaving(i)) continue;
+            if (n.id != node || n.removed || leaving(i)) continue;
             const bool well = n.core && !unheard(i) && lost() == 0 && world_.now_ > allBackAt_;
-            ++(well ? wellReplaced_ : pausedReplaced_);
+            ++(well ? healthyVotersReplaced_ : pausedVotersReplaced_);
         }
     }
 
@@ -162,31 +165,31 @@
         const int64_t between = World::millis(500 + world_.below(4000));
         ++replaced_;
         if (world_.chance(0.5)) {
-            count(between);
+            countLoss(between);
             trace("gone for good", old);
             end(old);
-            later(between, [this, successor] { bringUp(successor); });
+            later(between, [this, successor] { startSpare(successor); });
             return;
         }
-        bringUp(successor);
+        startSpare(successor);
         // The successor is a loss of its own until it has caught up; the one that leaves, once it is gone.
-        until_.push_back(world_.now_ + World::millis(kCatchUpMillis));
+        lossEnds_.push_back(world_.now_ + World::millis(kCatchUpMillis));
         leaving_.push_back(old);
-        later(between, [this, old] { leaveInTurn(old); });
+        later(between, [this, old] { leaveWhenAllowed(old); });
     }
-    void bringUp(size_t i) {
+    void startSpare(size_t i) {
         trace("comes", i);
-        world_.nodes_[i].gone = false;
+        world_.nodes_[i].removed = false;
         world_.start(i, false);
     }
     void end(size_t i) {
         world_.kill(i);
-        world_.nodes_[i].gone = true;
+        world_.nodes_[i].removed = true;
     }
     // Planned work waits while another loss has its time, as operators do.
-    void leaveInTurn(size_t i) {
+    void leaveWhenAllowed(size_t i) {
         if (!mayLose()) {
-            later(World::millis(250), [this, i] { leaveInTurn(i); });
+            later(World::millis(250), [this, i] { leaveWhenAllowed(i); });
             return;
         }
         leave(i, world_.now_ + World::millis(kGraceMillis));
@@ -194,17 +197,17 @@
     void leave(size_t i, int64_t deadline) {
         World::Node& n = world_.nodes_[i];
         trace("leaves", i);
-        until_.push_back(world_.now_ + World::millis(kHandOverMillis));
+        lossEnds_.push_back(world_.now_ + World::millis(kHandOverMillis));
         if (n.core) {
-            n.core->release(world_.clock(i));
+            n.core->beginLeave(world_.clock(i));
             world_.drain(i);
         }
-        await(i, deadline);
+        awaitHandover(i, deadline);
     }
-    void await(size_t i, int64_t deadline) {
+    void awaitHandover(size_t i, int64_t deadline) {
         World::Node& n = world_.nodes_[i];
         if (n.core && !n.core->mayLeave(world_.clock(i)) && world_.now_ < deadline) {
-            later(World::millis(50), [this, i, deadline] { await(i, deadline); });
+            later(World::millis(50), [this, i, deadline] { awaitHandover(i, deadline); });
             return;
         }
         trace("left", i);
@@ -217,39 +220,39 @@
         // A machine has one disk: the lost one may be replaced, the troubled one may not be lost meanwhile.
         if (troubled(i)) return;
         const int64_t away = World::millis(world_.below(1500));
-        count(away);
+        countLoss(away);
         trace("disk lost", i);
         ++disksLost_;
         if (world_.chance(0.5)) losePower();
         world_.kill(i);
         world_.nodes_[i].disk.reset();
-        world_.nodes_[i].wiped = true;
+        world_.nodes_[i].diskLost = true;
         later(away, [this, i] { world_.start(i, false); });
     }
     bool troubled(size_t i) const {
-        return world_.nodes_[i].diskSick || world_.now_ < world_.nodes_[i].diskHangsUntil;
+        return world_.nodes_[i].diskRefusesWrites || world_.now_ < world_.nodes_[i].diskHangsUntil;
     }
     // One at a time, of a machine whose disk has been rebuilt. No loss: the others go on as scheduled.
-    void troubleDisk() {
+    void disturbDisk() {
         const size_t i = victim();
         const int64_t span = World::millis(1000 + world_.below(14000));
-        if (!world_.nodes_[i].wiped && !world_.voterSets_.empty()) {
+        if (!world_.nodes_[i].diskLost && !world_.voterSets_.empty()) {
             trace("disk troubled", i);
-            ++disksTroubled_;
+            ++disksDisturbed_;
             if (world_.chance(0.5)) {
-                world_.nodes_[i].diskSick = true;
-                later(span, [this, i] { world_.nodes_[i].diskSick = false; });
+                world_.nodes_[i].diskRefusesWrites = true;
+                later(span, [this, i] { world_.nodes_[i].diskRefusesWrites = false; });
             } else {
                 world_.nodes_[i].diskHangsUntil = world_.now_ + span;
             }
         }
-        later(span + World::millis(world_.below(4000)), [this] { troubleDisk(); });
+        later(span + World::millis(world_.below(4000)), [this] { disturbDisk(); });
     }
     void cutOff() {
         if (!mayLose()) return;
         const size_t i = victim();
         const int64_t span = World::millis(1000 + world_.below(21000));
-        count(span);
+        countLoss(span);
         trace("cut off", i);
         const bool oneWay = world_.chance(0.3);
         for (size_t k = 0; k < world_.nodes_.size(); ++k) {
@@ -265,7 +268,7 @@
         if (!mayLose()) return;
         const size_t i = victim();
         const int64_t away = World::millis(world_.below(3000));
-        count(away);
+        countLoss(away);
         trace("restarted", i);
         world_.kill(i);
         later(away, [this, i] { world_.start(i, false); });
@@ -275,16 +278,17 @@
         const size_t i = victim();
         trace("frozen", i);
         const int64_t span = World::millis(500 + world_.below(30000));
-        count(span);
+        countLoss(span);
         world_.nodes_[i].frozenUntil = world_.now_ + span;
     }
 
     World& world_;
     size_t nextSpare_;
     int64_t allBackAt_ = 0;
-    std::vector<int64_t> until_;
+    std::vector<int64_t> lossEnds_;
     std::vector<size_t> leaving_;
-    int replaced_ = 0, disksLost_ = 0, disksTroubled_ = 0, pausedReplaced_ = 0, wellReplaced_ = 0;
+    int replaced_ = 0, disksLost_ = 0, disksDisturbed_ = 0, pausedVotersReplaced_ = 0,
+        healthyVotersReplaced_ = 0;
 };
 
 }  // namespace petrelpond::consensus::sim
--- a/system/consensus/no_log.hpp
+++ b/system/consensus/null_logger.hpp
@@ -7,7 +7,7 @@
 
 namespace petrelpond::consensus {
 
-class NoLog final : public leveldb::Logger {
+class NullLogger final : public leveldb::Logger {
   public:
     void Logv(const char*, std::va_list) override {}
 };
--- a/system/consensus/power_loss_test.cpp
+++ b/system/consensus/power_loss_test.cpp
@@ -16,7 +16,7 @@
 
 namespace fs = std::filesystem;
 
-using Found = network::Result<std::optional<Durable>>;
+using Found = network::Result<std::optional<DurableState>>;
 
 constexpr size_t kLossesEach = 16;  // ways of losing power that are tried at one moment
 
@@ -37,8 +37,8 @@
 }
 
 uint64_t savesOf(const Found& found) {
-    const auto* whole = std::get_if<std::optional<Durable>>(&found);
-    return whole && *whole ? (*whole)->saves : 0;
+    const auto* whole = std::get_if<std::optional<DurableState>>(&found);
+    return whole && *whole ? (*whole)->saveCount : 0;
 }
 
 std::string described(const Found& found) {
@@ -58,17 +58,17 @@
         fs::remove_all(root_);
     }
 
-    Durable stateOf(uint64_t saves) { return stateOf(saves, 1 + random_() % 60000); }
-    Durable stateOf(uint64_t saves, size_t bytes) const {
-        Durable state;
+    DurableState stateOf(uint64_t saves) { return stateOf(saves, 1 + random_() % 60000); }
+    DurableState stateOf(uint64_t saves, size_t bytes) const {
+        DurableState state;
         state.value = {static_cast<int64_t>(saves), saves, std::string(bytes, 'x')};
         state.voters = {"10.0.0.1", "10.0.0.2", "10.0.0.3"};
-        state.birth = birth_;
-        state.saves = saves;
+        state.diskId = birth_;
+        state.saveCount = saves;
         return state;
     }
 
-    bool save(Keeper& keeper, const Durable& state) {
+    bool save(Keeper& keeper, const DurableState& state) {
         keeper.save({++token_, state});
         while (true) {
             pollfd waits{wake_, POLLIN, 0};
@@ -197,8 +197,8 @@
     }
     const Tally tally =
         tryAll(recorded, {}, "", [&](const DiskMoment& moment, const PowerLoss&, const Found& found) {
-            const auto* whole = std::get_if<std::optional<Durable>>(&found);
-            const bool former = whole && *whole && (*whole)->birth == formerBirth;
+            const auto* whole = std::get_if<std::optional<DurableState>>(&found);
+            const bool former = whole && *whole && (*whole)->diskId == formerBirth;
             return !former && (moment.told == 0 || savesOf(found) >= moment.told);
         });
     std::printf("%zu losses of power, %zu brought the former state back\n", tally.tried, tally.broken);
--- a/system/consensus/rebuild_test.cpp
+++ b/system/consensus/rebuild_test.cpp
@@ -5,7 +5,7 @@
 
 #include <iostream>
 
-#include "system/consensus/losses_for_test.hpp"
+#include "system/consensus/loss_schedule_for_test.hpp"
 #include "system/network/environment_for_test.hpp"
 
 namespace petrelpond::consensus {
@@ -18,9 +18,9 @@
 // Of three cores the disk of 10.0.0.2 is in trouble; that of 10.0.0.3 is lost and, once that machine had its
 // time to catch up, that of 10.0.0.1 too, as all others lose power. Nothing: what was acknowledged is there,
 // and all work in the end.
-std::string losesTwoDisksInTurn(DiskTrouble trouble, uint32_t seed, Defect defect = Defect::none) {
+std::string loseTwoDisksInTurn(DiskTrouble trouble, uint32_t seed, Defect defect = Defect::none) {
     sim::Plan plan{seed, 3, 1, defect, false, 30, true};
-    plan.spans = true;
+    plan.serviceTimings = true;
     sim::World world(plan);
     world.loss_ = 0;
     std::string wrong;
@@ -30,7 +30,7 @@
         world.at(sim::World::millis(500), [&world, i] { world.start(i, false); });
     };
     world.at(sim::World::millis(6000), [&] {
-        if (trouble == DiskTrouble::refusesWrites) world.nodes_[1].diskSick = true;
+        if (trouble == DiskTrouble::refusesWrites) world.nodes_[1].diskRefusesWrites = true;
         if (trouble == DiskTrouble::hangs)
             world.nodes_[1].diskHangsUntil = world.now_ + sim::World::millis(22000);
     });
@@ -45,25 +45,25 @@
     return broken.empty() ? wrong : wrong + "; " + broken;
 }
 
-TEST(Rebuild, ADiskThatRefusesWritesStillTellsWhatItHolds) {
+TEST(Rebuild, AMemberWhoseDiskRefusesWritesAnswersRecovery) {
     for (uint32_t seed = 1; seed <= 5; ++seed)
-        EXPECT_EQ(losesTwoDisksInTurn(DiskTrouble::refusesWrites, seed), "") << seed;
+        EXPECT_EQ(loseTwoDisksInTurn(DiskTrouble::refusesWrites, seed), "") << seed;
 }
 
-TEST(Rebuild, ADiskThatHangsStillTellsWhatItHolds) {
+TEST(Rebuild, AMemberWhoseDiskHangsAnswersRecovery) {
     for (uint32_t seed = 1; seed <= 5; ++seed)
-        EXPECT_EQ(losesTwoDisksInTurn(DiskTrouble::hangs, seed), "") << seed;
+        EXPECT_EQ(loseTwoDisksInTurn(DiskTrouble::hangs, seed), "") << seed;
 }
 
-TEST(Rebuild, AMemberThatWaitsForItsDiskToTellIsCaught) {
-    EXPECT_NE(losesTwoDisksInTurn(DiskTrouble::refusesWrites, 1, Defect::waitsToTell), "");
-    EXPECT_NE(losesTwoDisksInTurn(DiskTrouble::hangs, 1, Defect::waitsToTell), "");
+TEST(Rebuild, CatchesARecoverReplyThatWaitsForTheDisk) {
+    EXPECT_NE(loseTwoDisksInTurn(DiskTrouble::refusesWrites, 1, Defect::recoverReplyWaitsForDisk), "");
+    EXPECT_NE(loseTwoDisksInTurn(DiskTrouble::hangs, 1, Defect::recoverReplyWaitsForDisk), "");
 }
 
 // What operators are told where two of three disks are lost, and a third would have to vouch for all.
-TEST(Rebuild, EachCoreKnowsHowManyDisksAreLost) {
+TEST(Rebuild, EachCoreReportsHowManyDisksAreLost) {
     sim::Plan plan{1, 3, 1, Defect::none, false, 20, false};
-    plan.spans = true;
+    plan.serviceTimings = true;
     sim::World world(plan);
     world.at(sim::World::millis(8000), [&world] {
         for (size_t i = 0; i < 2; ++i) {
@@ -73,33 +73,35 @@
         }
     });
     world.at(sim::World::millis(16000), [&world] {
-        for (size_t i = 0; i < 3; ++i) EXPECT_EQ(world.nodes_[i].core->lostVoters(world.clock(i)), 2) << i;
+        for (size_t i = 0; i < 3; ++i)
+            EXPECT_EQ(world.nodes_[i].core->lostVoterCount(world.clock(i)), 2) << i;
     });
     world.at(sim::World::millis(7000), [&world] {
-        for (size_t i = 0; i < 3; ++i) EXPECT_EQ(world.nodes_[i].core->lostVoters(world.clock(i)), 0) << i;
+        for (size_t i = 0; i < 3; ++i)
+            EXPECT_EQ(world.nodes_[i].core->lostVoterCount(world.clock(i)), 0) << i;
     });
     EXPECT_NE(world.run(), "");  // it stays so
 }
 
-sim::Plan besideTroubledDisks(uint32_t seed, Defect defect) {
+sim::Plan planWithDiskFaults(uint32_t seed, Defect defect) {
     static const std::pair<int, int> shapes[] = {{3, 1}, {5, 1}, {5, 2}, {9, 2}, {3, 1}};
     const auto [cores, losses] = shapes[seed % 5];
     sim::Plan plan{seed, cores, losses, defect, false, 60};
-    plan.spans = plan.clocks = plan.diskTroubles = true;
+    plan.serviceTimings = plan.differingClocks = plan.diskFaults = true;
     return plan;
 }
 
 // REBUILD_SCHEDULES=10000 for a long search, REBUILD_FIRST to begin elsewhere.
-TEST(Rebuild, NoScheduleOfLossesBesideTroubledDisksBreaksAnInvariant) {
+TEST(Rebuild, NoScheduleOfLossesWithDiskFaultsBreaksAnInvariant) {
     const uint32_t first = numberFromEnvironment("REBUILD_FIRST", 1);
     const uint32_t count = numberFromEnvironment("REBUILD_SCHEDULES", 60);
     int lost = 0, troubled = 0;
     for (uint32_t seed = first; seed < first + count; ++seed) {
-        sim::World world(besideTroubledDisks(seed, Defect::none));
-        const sim::Losses losses(world);
+        sim::World world(planWithDiskFaults(seed, Defect::none));
+        const sim::LossSchedule losses(world);
         EXPECT_EQ(world.run(), "") << "seed " << seed;
         lost += losses.disksLost();
-        troubled += losses.disksTroubled();
+        troubled += losses.disksDisturbed();
     }
     EXPECT_GT(lost, static_cast<int>(count));
     EXPECT_GT(troubled, static_cast<int>(count));
@@ -107,12 +109,12 @@
               << " that refused writes or hung\n";
 }
 
-TEST(Rebuild, SchedulesCatchAMemberThatWaitsForItsDiskToTell) {
+TEST(Rebuild, SchedulesCatchARecoverReplyThatWaitsForTheDisk) {
     uint32_t seed = 1;
     std::string broken;
     for (; broken.empty() && seed <= 100; ++seed) {
-        sim::World world(besideTroubledDisks(seed, Defect::waitsToTell));
-        const sim::Losses losses(world);
+        sim::World world(planWithDiskFaults(seed, Defect::recoverReplyWaitsForDisk));
+        const sim::LossSchedule losses(world);
         broken = world.run();
     }
     EXPECT_NE(broken, "");
@@ -130,7 +132,7 @@
         const int64_t gap = sim::World::millis(100 + world_.below(300));
         for (int64_t at = sim::World::millis(6000); at < kEnd; at += gap) {
             world_.at(at, [this] {
-                for (size_t i = 0; i < 3; ++i) world_.writeAt(i, world_.textOf(world_.version_ + 1));
+                for (size_t i = 0; i < 3; ++i) world_.writeAt(i, world_.randomValue(world_.version_ + 1));
                 ++world_.version_;
             });
         }
@@ -172,8 +174,8 @@
         const int64_t span = sim::World::millis(500 + world_.below(6000));
         if (world_.chance(0.3)) return;
         if (world_.chance(0.5)) {
-            world_.nodes_[i].diskSick = true;
-            world_.at(span, [this, i] { world_.nodes_[i].diskSick = false; });
+            world_.nodes_[i].diskRefusesWrites = true;
+            world_.at(span, [this, i] { world_.nodes_[i].diskRefusesWrites = false; });
         } else {
             world_.nodes_[i].diskHangsUntil = world_.now_ + span;
         }
@@ -193,13 +195,13 @@
     sim::World& world_;
 };
 
-TEST(Rebuild, TheOrderOfTheIncidentEndsNothingForGood) {
+TEST(Rebuild, RepeatedIncidentSequencesRecover) {
     const uint32_t first = numberFromEnvironment("REBUILD_FIRST", 1);
     const uint32_t count = numberFromEnvironment("REBUILD_SCHEDULES", 60);
     int writes = 0;
     for (uint32_t seed = first; seed < first + count; ++seed) {
         sim::Plan plan{seed, 3, 1, Defect::none, false, 72, true};
-        plan.spans = plan.clocks = true;
+        plan.serviceTimings = plan.differingClocks = true;
         sim::World world(plan);
         const IncidentSchedule schedule(world);
         EXPECT_EQ(world.run(), "") << "seed " << seed;
--- a/system/consensus/register.cpp
+++ b/system/consensus/register.cpp
@@ -17,7 +17,7 @@
 // lease (no writes while it is vacant). It costs one more sync of a short record for each change.
 #include <utility>
 
-#include "system/consensus/core_parts.hpp"
+#include "system/consensus/core_internal.hpp"
 
 namespace petrelpond::consensus {
 namespace {
@@ -25,15 +25,15 @@
 // How long another writer's text may stand unchosen before a reader settles it; several round trips between
 // regions and syncs. Harm if too short: two outbid each other; if too long: a read after a writer's death
 // waits.
-const Span kSettleAfter = Span::millis(200);
-const Span kSettleSpread = Span::millis(150);
+const Span kSettleDelay = Span::millis(200);
+const Span kSettleJitter = Span::millis(150);
 
 // Before a version is claimed again; its random part doubles so often.
 const Span kOutbidPause = Span::millis(25);
-constexpr int kMostOutbid = 4;
+constexpr int kMaxOutbidDoublings = 4;
 
 // Ballots of two proposers never are the same: the lower half names the machine.
-uint64_t ballotOf(uint64_t round, const NodeId& self) {
+uint64_t makeBallot(uint64_t round, const NodeId& self) {
     uint32_t machine = 0;
     uint32_t part = 0;
     bool address = true;
@@ -55,306 +55,315 @@
 
 // ---- what this disk has accepted and promised
 
-void Core::adopt(const std::shared_ptr<const Value>& v) {
-    if (!v || markOf(v) <= markOf(value_)) return;
+void Core::adoptIfNewer(const std::shared_ptr<const Value>& v) {
+    if (!v || headerOf(v) <= headerOf(value_)) return;
     value_ = v;
-    touch();
+    markDirty();
 }
 
 // `v` is known to be chosen. A member behind takes it whatever it has promised: no ballot for that version
 // can end with another text.
-void Core::sure(const std::shared_ptr<const Value>& v) {
-    if (!v || v->version <= sureMark_.version) return;
-    sure_ = v;
-    sureMark_ = {v->version, kChosen, v->digest};
+void Core::learnChosen(const std::shared_ptr<const Value>& v) {
+    if (!v || v->version <= chosenHeader_.version) return;
+    chosen_ = v;
+    chosenHeader_ = {v->version, kChosenBallot, v->digest};
     const bool behind = !value_ || value_->version < v->version;
     if (behind || (value_->version == v->version && value_->digest != v->digest)) {
         auto chosen = std::make_shared<Value>(*v);
-        chosen->ballot = kChosen;
+        chosen->ballot = kChosenBallot;
         value_ = std::move(chosen);
-        touch();
+        markDirty();
     }
     forgetClaims(v->version);
-    out_.push_back(News{v});
+    outputs_.push_back(ValueChosen{v});
 }
 
 // What this disk holds, as others are told: with the knowledge that it is chosen, where we have it.
-Mark Core::toldMark() const {
-    const Mark onDisk = markOf(synced_.value);
-    return sameText(onDisk, sureMark_) ? sureMark_ : onDisk;
+ValueHeader Core::syncedHeader() const {
+    const ValueHeader onDisk = headerOf(synced_.value);
+    return isSameContent(onDisk, chosenHeader_) ? chosenHeader_ : onDisk;
 }
 
 void Core::promiseClaim(int64_t version, uint64_t ballot) {
-    mem_.claims.promise(version, ballot, heldVersion());
-    touch();
+    state_.claims.promise(version, ballot, heldVersion());
+    markDirty();
 }
 
 void Core::forgetClaims(int64_t below) {
-    mem_.claims.forgetBelow(below);
-    claimNumbers_.erase(claimNumbers_.begin(), claimNumbers_.lower_bound(below));
+    state_.claims.forgetBelow(below);
+    claimRequests_.erase(claimRequests_.begin(), claimRequests_.lower_bound(below));
 }
 
 // Whether this core knows that this text was chosen: since it started, or by its disk. Against a core that is
 // no member, whose own disk is not asked: it saw that the version is decided, and never that the text which a
 // majority holds is the one.
-bool Core::isKnownChosen(const Mark& mark) const {
-    if (sameText(mark, sureMark_)) return true;
-    return value_ && value_->ballot == kChosen && sameText(mark, markOf(value_)) &&
-           o_.defect != Defect::asksWithoutPause;
+bool Core::isKnownChosen(const ValueHeader& header) const {
+    if (isSameContent(header, chosenHeader_)) return true;
+    return value_ && value_->ballot == kChosenBallot && isSameContent(header, headerOf(value_)) &&
+           options_.defect != Defect::retriesWithoutPause;
 }
 
 // Whether this core knows what was chosen for the version, or that a higher one was.
-bool Core::decided(int64_t version) const {
-    const bool onDisk = value_ && value_->version == version && value_->ballot == kChosen;
-    return sureMark_.version >= version || onDisk;
+bool Core::isDecided(int64_t version) const {
+    const bool onDisk = value_ && value_->version == version && value_->ballot == kChosenBallot;
+    return chosenHeader_.version >= version || onDisk;
 }
 
 // A claim of a ballot for a version. The same claim again (it was sent twice) is answered again; another one
 // of the same ballot is of an earlier life of its sender, and refused.
-void Core::hearClaim(const NodeId& from, const Message& m) {
+void Core::handleClaim(const NodeId& from, const Message& m) {
     if (!isMember() || m.version <= 0) return;
-    Message back = make(Kind::claimed, m.number);
-    const uint64_t promised = claimOf(m.version);
-    const auto asked = claimNumbers_.find(m.version);
-    const bool again =
-        promised == m.ballot && asked != claimNumbers_.end() && asked->second == std::pair(from, m.number);
+    Message back = makeMessage(MessageKind::claimReply, m.requestId);
+    const uint64_t promised = promisedBallot(m.version);
+    const auto asked = claimRequests_.find(m.version);
+    const bool again = promised == m.ballot && asked != claimRequests_.end() &&
+                       asked->second == std::pair(from, m.requestId);
     const bool overtaken = heldVersion() > m.version;
-    const bool full = o_.defect == Defect::refusesWhenFull && !mem_.claims.isListed(m.version) &&
-                      mem_.claims.listed().size() >= Claims::kMostListed;
+    const bool full = options_.defect == Defect::refusesClaimsWhenFull &&
+                      !state_.claims.isListed(m.version) &&
+                      state_.claims.listed().size() >= Claims::kMostListed;
     back.version = m.version;
-    if (!overtaken && !full && !decided(m.version) && (m.ballot > promised || again)) {
+    if (!overtaken && !full && !isDecided(m.version) && (m.ballot > promised || again)) {
         if (!again) {
             promiseClaim(m.version, m.ballot);
-            claimNumbers_[m.version] = {from, m.number};
-            std::erase_if(claimNumbers_,
-                          [this](const auto& each) { return !mem_.claims.isListed(each.first); });
+            claimRequests_[m.version] = {from, m.requestId};
+            std::erase_if(claimRequests_,
+                          [this](const auto& each) { return !state_.claims.isListed(each.first); });
         }
-        back.yes = true;
+        back.granted = true;
     }
-    back.ballot = claimOf(m.version);
-    sendSynced(from, std::move(back));
+    back.ballot = promisedBallot(m.version);
+    sendAfterSync(from, std::move(back));
 }
 
-void Core::hearPut(const NodeId& from, const Message& m) {
+void Core::handlePut(const NodeId& from, const Message& m) {
     if (!isMember() || !m.value || m.value->version <= 0) return;
-    Message back = make(Kind::held, m.number);
+    Message back = makeMessage(MessageKind::registerReply, m.requestId);
     const Value& put = *m.value;
     const bool overtaken = heldVersion() > put.version;
-    const bool promisedElse = claimOf(put.version) > put.ballot && o_.defect != Defect::ignoresClaims;
-    if (!overtaken && !promisedElse && !decided(put.version)) {
+    const bool promisedElse =
+        promisedBallot(put.version) > put.ballot && options_.defect != Defect::ignoresClaims;
+    if (!overtaken && !promisedElse && !isDecided(put.version)) {
         value_ = m.value;
         promiseClaim(put.version, put.ballot);
         forgetClaims(put.version);
-        back.yes = true;
+        back.granted = true;
     }
     back.version = put.version;
-    back.ballot = claimOf(put.version);
-    sendSynced(from, std::move(back));
+    back.ballot = promisedBallot(put.version);
+    sendAfterSync(from, std::move(back));
 }
 
-void Core::hearGet(const NodeId& from, const Message& m) {
+void Core::handleGet(const NodeId& from, const Message& m) {
     if (!isMember()) return;
-    Message back = make(Kind::held, m.number);
-    back.ballot = value_ ? claimOf(value_->version) : 0;
-    sendSynced(from, std::move(back));
+    Message back = makeMessage(MessageKind::registerReply, m.requestId);
+    back.ballot = value_ ? promisedBallot(value_->version) : 0;
+    sendAfterSync(from, std::move(back));
 }
 
 // What is chosen, and what is accepted here where that is another: either may be what is asked for.
-void Core::hearFetch(const NodeId& to, const Message& m) {
-    Message back = make(Kind::value);
-    withVoters(back);
-    if (sure_ && m.sure.version < sureMark_.version) {
-        back.value = sure_;
+void Core::handleFetch(const NodeId& to, const Message& m) {
+    Message back = makeMessage(MessageKind::value);
+    addVotersTo(back);
+    if (chosen_ && m.chosenValue.version < chosenHeader_.version) {
+        back.value = chosen_;
         send(to, back);
     }
-    if (value_ && m.disk < markOf(value_) && !sameText(markOf(value_), sureMark_)) {
+    if (value_ && m.syncedValue < headerOf(value_) && !isSameContent(headerOf(value_), chosenHeader_)) {
         back.value = value_;
         send(to, std::move(back));
     }
 }
 
-void Core::hearValue(const Message& m) {
+void Core::handleValue(const Message& m) {
     if (!m.value) return;
-    if (sameText(markOf(m.value), m.sure)) sure(m.value);
-    for (auto& [number, op] : ops_) {
-        if (op.step == Op::Step::asking && sameText(markOf(m.value), op.highest)) op.found = m.value;
-        if (op.step == Op::Step::claiming && sameText(markOf(m.value), op.accepted)) op.found = m.value;
+    if (isSameContent(headerOf(m.value), m.chosenValue)) learnChosen(m.value);
+    for (auto& [requestId, op] : operations_) {
+        if (op.step == Operation::Step::reading && isSameContent(headerOf(m.value), op.highest))
+            op.fetched = m.value;
+        if (op.step == Operation::Step::claiming && isSameContent(headerOf(m.value), op.acceptedValue))
+            op.fetched = m.value;
     }
 }
 
-void Core::fetch(Instant now, const NodeId& from) {
-    if (from == o_.self || now < fetchAt_ + Span::millis(250)) return;  // a body may need that long
-    fetchAt_ = now;
-    send(from, make(Kind::fetch));
+void Core::fetchValue(Instant now, const NodeId& from) {
+    if (from == options_.self || now < lastFetchAt_ + Span::millis(250)) return;  // a body may need that long
+    lastFetchAt_ = now;
+    send(from, makeMessage(MessageKind::fetch));
 }
 
 // What others hold: what is chosen is taken from them, what is not yet (its writer may have died) is looked
 // at by a read, after a while in which the writer itself may finish.
-void Core::learnMarks(Instant now, const NodeId& from, const Message& m) {
-    if (from == o_.self) return;
-    peers_[from].disk = m.disk;
-    if (m.sure.version > sureMark_.version) {
-        if (sameText(markOf(value_), m.sure)) {
-            sure(value_);
-        } else if (m.sure.version >= markOf(value_).version) {
-            fetch(now, from);
+void Core::learnHeaders(Instant now, const NodeId& from, const Message& m) {
+    if (from == options_.self) return;
+    peers_[from].syncedValue = m.syncedValue;
+    if (m.chosenValue.version > chosenHeader_.version) {
+        if (isSameContent(headerOf(value_), m.chosenValue)) {
+            learnChosen(value_);
+        } else if (m.chosenValue.version >= headerOf(value_).version) {
+            fetchValue(now, from);
         }
     }
-    const int64_t newest = std::max(m.disk, markOf(value_)).version;
-    if (newest > sureMark_.version && suspectAt_ == Instant::never())
-        suspectAt_ = now + o_.beat * 2 + random(o_.beat * 4);
+    const int64_t newest = std::max(m.syncedValue, headerOf(value_)).version;
+    if (newest > chosenHeader_.version && settleReadAt_ == Instant::never())
+        settleReadAt_ = now + options_.heartbeatInterval * 2 + randomSpan(options_.heartbeatInterval * 4);
 }
 
 // ---- writes and reads that were begun here
 
 void Core::write(Instant now, uint64_t ticket, std::shared_ptr<const Value> v) {
-    enter(now);
-    if (o_.defect == Defect::refusesRepeats && decided(v->version)) {
-        out_.push_back(Answer{ticket, Answer::conflict, sure_, {}});
-        return leave(now);
+    beginInput(now);
+    if (options_.defect == Defect::refusesRepeatedWrites && isDecided(v->version)) {
+        outputs_.push_back(OperationResult{ticket, OperationResult::conflict, chosen_, {}});
+        return endInput(now);
     }
-    newOp(now, ticket, true, false, std::move(v));
-    leave(now);
+    startOperation(now, ticket, true, false, std::move(v));
+    endInput(now);
 }
 
 void Core::read(Instant now, uint64_t ticket) {
-    enter(now);
-    newOp(now, ticket, true, true, nullptr);
-    leave(now);
+    beginInput(now);
+    startOperation(now, ticket, true, true, nullptr);
+    endInput(now);
 }
 
-void Core::newOp(Instant now, uint64_t ticket, bool wanted, bool reading, std::shared_ptr<const Value> own) {
-    Op op;
+void Core::startOperation(Instant now, uint64_t ticket, bool wanted, bool reading,
+                          std::shared_ptr<const Value> own) {
+    Operation op;
     op.ticket = ticket;
-    op.wanted = wanted;
+    op.hasCaller = wanted;
     op.since = now;
     if (reading) {
-        op.step = Op::Step::asking;
+        op.step = Operation::Step::reading;
     } else {
-        op.own = own;
-        op.text = std::move(own);
-        op.step = Op::Step::claiming;
+        op.requested = own;
+        op.proposal = std::move(own);
+        op.step = Operation::Step::claiming;
     }
-    ops_.emplace(++number_, std::move(op));
+    operations_.emplace(++lastRequestId_, std::move(op));
 }
 
-void Core::stepAll(Instant now) {
-    for (auto it = ops_.begin(); it != ops_.end();) {
-        it = step(now, it->first, it->second) ? ops_.erase(it) : std::next(it);
+void Core::advanceOperations(Instant now) {
+    for (auto it = operations_.begin(); it != operations_.end();) {
+        it = advanceOperation(now, it->first, it->second) ? operations_.erase(it) : std::next(it);
     }
 }
 
 // True: the operation is over.
-bool Core::step(Instant now, uint64_t number, Op& op) {
+bool Core::advanceOperation(Instant now, uint64_t requestId, Operation& op) {
     // Checked before anything is counted: an answer of a disk that was lost meanwhile must not count, see
-    // recoverWait. It catches our own freezes too.
-    if (now - op.since > o_.operationTimeout) {
-        if (op.wanted) out_.push_back(Answer{op.ticket, Answer::noMajority, nullptr, {}});
+    // recoveryDelay. It catches our own freezes too.
+    if (now - op.since > options_.operationTimeout) {
+        if (op.hasCaller)
+            outputs_.push_back(OperationResult{op.ticket, OperationResult::noMajority, nullptr, {}});
         return true;
     }
-    if (mem_.voters.empty() || now < op.pausedUntil) return false;
+    if (state_.voters.empty() || now < op.pausedUntil) return false;
     // Chosen meanwhile, by whomever: what remains is to hear so from a majority.
-    if (op.step != Op::Step::asking && decided(op.text->version)) askAgain(now, op, wasOvertaken(op));
-    if (op.step == Op::Step::asking && stepAsking(now, op)) return true;
-    if (op.step == Op::Step::claiming) stepClaiming(now, op);
-    if (op.step == Op::Step::putting && op.yes.size() >= majority()) {
+    if (op.step != Operation::Step::reading && isDecided(op.proposal->version))
+        restartReading(now, op, markOvertaken(op));
+    if (op.step == Operation::Step::reading && stepReading(now, op)) return true;
+    if (op.step == Operation::Step::claiming) stepClaiming(now, op);
+    if (op.step == Operation::Step::putting && op.grants.size() >= majority()) {
         // `chosen` before anybody is told: what is told is told of the newest that is known.
-        const bool news = op.text->version > sureMark_.version;
-        sure(op.text);
-        if (news) toPeers(make(Kind::committed));
-        finish(op, op.text);
+        const bool news = op.proposal->version > chosenHeader_.version;
+        learnChosen(op.proposal);
+        if (news) sendToPeers(makeMessage(MessageKind::committed));
+        finishOperation(op, op.proposal);
         return true;
     }
-    if (now >= op.pausedUntil && now >= op.resendAt) resend(now, number, op);
+    if (now >= op.pausedUntil && now >= op.resendAt) resendRequest(now, requestId, op);
     return false;
 }
 
-void Core::finish(const Op& op, const std::shared_ptr<const Value>& chosen) {
-    if (!op.wanted) return;
-    const bool lost =
-        op.own && chosen && chosen->version == op.own->version && chosen->digest != op.own->digest;
-    out_.push_back(Answer{op.ticket, lost ? Answer::conflict : Answer::done, chosen, {}});
+void Core::finishOperation(const Operation& op, const std::shared_ptr<const Value>& chosen) {
+    if (!op.hasCaller) return;
+    const bool lost = op.requested && chosen && chosen->version == op.requested->version &&
+                      chosen->digest != op.requested->digest;
+    outputs_.push_back(
+        OperationResult{op.ticket, lost ? OperationResult::conflict : OperationResult::done, chosen, {}});
 }
 
-void Core::beginStep(Op& op, Op::Step step, Instant from) {
+void Core::beginStep(Operation& op, Operation::Step step, Instant from) {
     op.step = step;
-    op.marks.clear();
-    op.yes.clear();
+    op.headers.clear();
+    op.grants.clear();
     op.ballot = 0;
-    op.accepted = {};
+    op.acceptedValue = {};
     op.pausedUntil = from;
     op.resendAt = Instant::longAgo();
-    op.pause = Span::millis(200);
+    op.resendPause = Span::millis(200);
 }
 
 // True: what was asked for is known to be chosen, and told.
-bool Core::stepAsking(Instant now, Op& op) {
-    if (op.marks.size() < majority()) return false;
-    Mark highest;
-    for (const auto& [node, mark] : op.marks) highest = std::max(highest, mark);
-    const bool overtakes = op.own && op.own->version > highest.version;
+bool Core::stepReading(Instant now, Operation& op) {
+    if (op.headers.size() < majority()) return false;
+    ValueHeader highest;
+    for (const auto& [node, header] : op.headers) highest = std::max(highest, header);
+    const bool overtakes = op.requested && op.requested->version > highest.version;
     if (overtakes) {  // what we heard of is gone with the disk that held it, and was never chosen
-        op.text = op.own;
-        beginStep(op, Op::Step::claiming, now);
+        op.proposal = op.requested;
+        beginStep(op, Operation::Step::claiming, now);
         return false;
     }
     if (highest.version == 0) {
-        finish(op, nullptr);
+        finishOperation(op, nullptr);
         return true;
     }
     op.highest = highest;
-    const auto agreeing = std::count_if(op.marks.begin(), op.marks.end(), [&](const auto& entry) {
-        return entry.second == highest && !op.open.count(entry.first);
+    const auto agreeing = std::count_if(op.headers.begin(), op.headers.end(), [&](const auto& entry) {
+        return entry.second == highest && !op.higherPromises.count(entry.first);
     });
-    const bool chosen =
-        highest.ballot == kChosen || isKnownChosen(highest) || static_cast<size_t>(agreeing) >= majority();
-    const std::shared_ptr<const Value> text = bodyOf(now, op, highest);
+    const bool chosen = highest.ballot == kChosenBallot || isKnownChosen(highest) ||
+                        static_cast<size_t>(agreeing) >= majority();
+    const std::shared_ptr<const Value> text = findValue(now, op, highest);
     if (!text) return false;
-    if (chosen || o_.defect == Defect::noWriteBack) {
-        const bool news = highest.version > sureMark_.version;
-        if (chosen) sure(text);
-        if (chosen && news) toPeers(make(Kind::committed));
-        finish(op, text);
+    if (chosen || options_.defect == Defect::noWriteBack) {
+        const bool news = highest.version > chosenHeader_.version;
+        if (chosen) learnChosen(text);
+        if (chosen && news) sendToPeers(makeMessage(MessageKind::committed));
+        finishOperation(op, text);
         return true;
     }
-    if (op.settleAt == Instant::never()) op.settleAt = now + kSettleAfter + random(kSettleSpread);
+    if (op.settleAt == Instant::never()) op.settleAt = now + kSettleDelay + randomSpan(kSettleJitter);
     if (now < op.settleAt) {
-        beginStep(op, Op::Step::asking, std::min(op.settleAt, now + kOutbidPause + random(kOutbidPause)));
+        beginStep(op, Operation::Step::reading,
+                  std::min(op.settleAt, now + kOutbidPause + randomSpan(kOutbidPause)));
         return false;
     }
-    op.text = text;
-    beginStep(op, Op::Step::claiming, now);
+    op.proposal = text;
+    beginStep(op, Operation::Step::claiming, now);
     return false;
 }
 
 // The text of a mark, from our own disk or from whoever told of it; null: asked for.
-std::shared_ptr<const Value> Core::bodyOf(Instant now, Op& op, const Mark& mark) {
-    for (const auto& candidate : {sure_, value_, op.own, op.text, op.found}) {
-        if (candidate && sameText(markOf(candidate), mark)) return candidate;
+std::shared_ptr<const Value> Core::findValue(Instant now, Operation& op, const ValueHeader& header) {
+    for (const auto& candidate : {chosen_, value_, op.requested, op.proposal, op.fetched}) {
+        if (candidate && isSameContent(headerOf(candidate), header)) return candidate;
     }
-    for (const auto& [node, theirs] : op.marks) {
-        if (sameText(theirs, mark)) fetch(now, node);
+    for (const auto& [node, theirs] : op.headers) {
+        if (isSameContent(theirs, header)) fetchValue(now, node);
     }
     return nullptr;
 }
 
-void Core::stepClaiming(Instant now, Op& op) {
+void Core::stepClaiming(Instant now, Operation& op) {
     if (op.ballot == 0) {
-        highestClaim_ = std::max(highestClaim_, claimOf(op.text->version) >> 32) + 1;
-        op.ballot = ballotOf(highestClaim_, o_.self);
+        highestClaimRound_ = std::max(highestClaimRound_, promisedBallot(op.proposal->version) >> 32) + 1;
+        op.ballot = makeBallot(highestClaimRound_, options_.self);
     }
-    if (op.yes.size() < majority()) return;
-    std::shared_ptr<const Value> text = op.text;
-    if (op.accepted.version > 0 && o_.defect != Defect::putsItsOwn) {
-        text = bodyOf(now, op, op.accepted);
+    if (op.grants.size() < majority()) return;
+    std::shared_ptr<const Value> text = op.proposal;
+    if (op.acceptedValue.version > 0 && options_.defect != Defect::ignoresAcceptedValue) {
+        text = findValue(now, op, op.acceptedValue);
         if (!text) return;
     }
     const uint64_t ballot = op.ballot;
-    beginStep(op, Op::Step::putting, now);
+    beginStep(op, Operation::Step::putting, now);
     op.ballot = ballot;
     auto put = std::make_shared<Value>(*text);
     put->ballot = ballot;
-    op.text = std::move(put);
+    op.proposal = std::move(put);
 }
 
 // Looks whether the version was decided, or another writer has finished, before it is claimed again. Against
@@ -362,63 +371,66 @@
 // does not know: to ask and to claim in turn without a pause sends as many messages as the links carry, and
 // each late answer to a former claim begins one more round (schedule 330848 of replacement_test). Harm: a
 // writer that is overtaken twice by what is not chosen waits for 25 to 425 ms.
-void Core::askAgain(Instant now, Op& op, bool pauses) {
-    if (!pauses) return beginStep(op, Op::Step::asking, now);
-    op.outbid = std::min(op.outbid + 1, kMostOutbid);
-    beginStep(op, Op::Step::asking, now + kOutbidPause + random(kOutbidPause * (1 << op.outbid)));
+void Core::restartReading(Instant now, Operation& op, bool pauses) {
+    if (!pauses) return beginStep(op, Operation::Step::reading, now);
+    op.outbidCount = std::min(op.outbidCount + 1, kMaxOutbidDoublings);
+    beginStep(op, Operation::Step::reading,
+              now + kOutbidPause + randomSpan(kOutbidPause * (1 << op.outbidCount)));
 }
 
 // Whether the operation was overtaken before; from now on it was.
-bool Core::wasOvertaken(Op& op) const {
-    return std::exchange(op.overtaken, true) && o_.defect != Defect::asksWithoutPause;
+bool Core::markOvertaken(Operation& op) const {
+    return std::exchange(op.overtaken, true) && options_.defect != Defect::retriesWithoutPause;
 }
 
 // An answer to get, claim or put. One of an earlier step may come late: it says what its sender holds, and
 // counts in no majority.
-void Core::hearRegister(Instant now, const NodeId& from, const Message& m) {
-    const auto it = ops_.find(m.number);
-    if (it == ops_.end() || !isVoter(from)) return;
-    Op& op = it->second;
-    highestClaim_ = std::max(highestClaim_, m.ballot >> 32);
-    if (op.step == Op::Step::asking) {
-        if (m.kind != Kind::held || m.version != 0) return;
-        op.marks[from] = m.disk;
-        const bool open = m.disk.ballot != kChosen && m.ballot > m.disk.ballot;
-        open ? static_cast<void>(op.open.insert(from)) : static_cast<void>(op.open.erase(from));
+void Core::handleRegisterReply(Instant now, const NodeId& from, const Message& m) {
+    const auto it = operations_.find(m.requestId);
+    if (it == operations_.end() || !isVoter(from)) return;
+    Operation& op = it->second;
+    highestClaimRound_ = std::max(highestClaimRound_, m.ballot >> 32);
+    if (op.step == Operation::Step::reading) {
+        if (m.kind != MessageKind::registerReply || m.version != 0) return;
+        op.headers[from] = m.syncedValue;
+        const bool open = m.syncedValue.ballot != kChosenBallot && m.ballot > m.syncedValue.ballot;
+        open ? static_cast<void>(op.higherPromises.insert(from))
+             : static_cast<void>(op.higherPromises.erase(from));
         return;
     }
-    const int64_t version = op.text->version;
+    const int64_t version = op.proposal->version;
     if (m.version != version) return;
-    const bool chosen = m.disk.version == version && m.disk.ballot == kChosen;
-    if (m.disk.version > version || chosen) return askAgain(now, op, wasOvertaken(op));
-    if (m.kind == (op.step == Op::Step::claiming ? Kind::claimed : Kind::held)) {
-        if (op.step == Op::Step::claiming && m.disk.version == version) {
-            op.marks[from] = m.disk;
-            op.accepted = std::max(op.accepted, m.disk);
+    const bool chosen = m.syncedValue.version == version && m.syncedValue.ballot == kChosenBallot;
+    if (m.syncedValue.version > version || chosen) return restartReading(now, op, markOvertaken(op));
+    if (m.kind ==
+        (op.step == Operation::Step::claiming ? MessageKind::claimReply : MessageKind::registerReply)) {
+        if (op.step == Operation::Step::claiming && m.syncedValue.version == version) {
+            op.headers[from] = m.syncedValue;
+            op.acceptedValue = std::max(op.acceptedValue, m.syncedValue);
         }
-        if (m.yes && m.ballot == op.ballot) {  // not of an earlier ballot of this operation
-            op.yes.insert(from);
+        if (m.granted && m.ballot == op.ballot) {  // not of an earlier ballot of this operation
+            op.grants.insert(from);
         } else if (m.ballot > op.ballot) {
-            askAgain(now, op, true);
+            restartReading(now, op, true);
         }
     }
 }
 
-void Core::resend(Instant now, uint64_t number, Op& op) {
-    op.resendAt = now + op.pause;
-    op.pause = op.pause * 1.5;
-    const Kind kind = op.step == Op::Step::asking     ? Kind::get
-                      : op.step == Op::Step::claiming ? Kind::claim
-                                                      : Kind::put;
-    Message m = make(kind, number);
-    withVoters(m);
-    if (kind != Kind::get) {
-        m.version = op.text->version;
+void Core::resendRequest(Instant now, uint64_t requestId, Operation& op) {
+    op.resendAt = now + op.resendPause;
+    op.resendPause = op.resendPause * 1.5;
+    const MessageKind kind = op.step == Operation::Step::reading    ? MessageKind::get
+                             : op.step == Operation::Step::claiming ? MessageKind::claim
+                                                                    : MessageKind::put;
+    Message m = makeMessage(kind, requestId);
+    addVotersTo(m);
+    if (kind != MessageKind::get) {
+        m.version = op.proposal->version;
         m.ballot = op.ballot;
     }
-    if (kind == Kind::put) m.value = op.text;
-    for (const NodeId& n : mem_.voters) {
-        const bool answered = kind == Kind::get ? op.marks.count(n) > 0 : op.yes.count(n) > 0;
+    if (kind == MessageKind::put) m.value = op.proposal;
+    for (const NodeId& n : state_.voters) {
+        const bool answered = kind == MessageKind::get ? op.headers.count(n) > 0 : op.grants.count(n) > 0;
         if (!answered) send(n, m);
     }
 }
--- a/system/consensus/sim_for_test.hpp
+++ b/system/consensus/world_for_test.hpp
@@ -21,35 +21,35 @@
     std::string run() {
         const size_t first = static_cast<size_t>(plan_.cores);
         for (size_t i = 0; i < first; ++i) at(below(300) + 1, [this, i] { start(i, true); });
-        for (size_t i = first; i < nodes_.size() && !losses_; ++i)
+        for (size_t i = first; i < nodes_.size() && !beginLosses_; ++i)
             at(millis(6000 + below(3000)), [this, i] { start(i, false); });
-        if (losses_) losses_();
+        if (beginLosses_) beginLosses_();
         if (plan_.spares > 0 && plan_.faults) at(millis(7000 + below(3000)), [this] { changeVoters(); });
-        if (plan_.clients) at(1, [this] { client(); });
-        if (plan_.faults) at(millis(500 + below(4000)), [this] { trouble(); });
-        if (plan_.bareSeeds) {
+        if (plan_.clients) at(1, [this] { runClient(); });
+        if (plan_.faults) at(millis(500 + below(4000)), [this] { injectFault(); });
+        if (plan_.losesSeedDisks) {
             const auto one = static_cast<size_t>(below(3));
-            at(millis(below(4000)), [this, one] { wipe(one, false); });
-            at(millis(below(4000)), [this, one] { wipe((one + 1) % 3, false); });
+            at(millis(below(4000)), [this, one] { loseDisk(one, false); });
+            at(millis(below(4000)), [this, one] { loseDisk((one + 1) % 3, false); });
         }
         const int64_t calm = millis(static_cast<int64_t>(plan_.seconds * 1000));
         at(calm, [this] { heal(); });
         const int64_t end = calm + millis(25000);
-        at(end - kQuietMillis * 1000, [this] { quiet_ = true; });
-        at(end - millis(6000) - kQuietMillis * 1000, [this] {
-            calmWrites_ = doneWrites_;
-            calmReads_ = doneReads_;
+        at(end - kQuietPeriodMillis * 1000, [this] { quiet_ = true; });
+        at(end - millis(6000) - kQuietPeriodMillis * 1000, [this] {
+            writesBeforeEnd_ = doneWrites_;
+            readsBeforeEnd_ = doneReads_;
         });
         runUntil(end);
         if (std::getenv("CONSENSUS_TRACE")) describe();
         if (!broken_.empty()) return broken_;
         if (seedsLost_.size() > 1) return {};  // nobody may begin anew, see Core::beginAnew
-        if (plan_.clients && doneWrites_ - calmWrites_ < 3) return "no writes done after all has healed";
-        if (plan_.clients && doneReads_ - calmReads_ < 3) return "no reads done after all has healed";
+        if (plan_.clients && doneWrites_ - writesBeforeEnd_ < 3) return "no writes done after all has healed";
+        if (plan_.clients && doneReads_ - readsBeforeEnd_ < 3) return "no reads done after all has healed";
         int holders = 0, recovering = 0;
         for (const Node& n : nodes_) {
-            holders += n.core && n.core->duty().held;
-            recovering += n.core && n.core->recovering();
+            holders += n.core && n.core->lease().held;
+            recovering += n.core && n.core->isRecovering();
         }
         uint64_t epoch = 0;
         for (const Node& n : nodes_) epoch = std::max(epoch, n.core ? n.core->epoch() : 0);
@@ -57,7 +57,8 @@
             if (n.core && n.core->epoch() != epoch) return "cores on two voterSets after all has healed";
         }
         for (const Node& n : nodes_) {
-            if (n.core && acked_.version > 0 && (!n.core->held() || n.core->held()->version < acked_.version))
+            if (n.core && acknowledged_.version > 0 &&
+                (!n.core->newestValue() || n.core->newestValue()->version < acknowledged_.version))
                 return n.id + " is behind after changes have paused";
         }
         if (holders != 1) return std::to_string(holders) + " holders after all has healed";
@@ -68,20 +69,20 @@
         for (const Node& n : nodes_) {
             if (!n.core) continue;
             std::printf("%s epoch %lu recovering %d entering %d holds %d wiped %d\n", n.id.c_str(),
-                        n.core->epoch(), n.core->recovering(), n.disk ? n.disk->entering : -1,
-                        n.core->duty().held, n.wiped);
+                        n.core->epoch(), n.core->isRecovering(), n.disk ? n.disk->takeoverState : -1,
+                        n.core->lease().held, n.diskLost);
         }
     }
     int doneWrites() const { return doneWrites_; }
     int conflicts() const { return conflicts_; }
     int doneReads() const { return doneReads_; }
     int terms() const { return static_cast<int>(lastTerm_); }
-    int wipes() const { return wipes_; }
-    int changes() const { return static_cast<int>(lastEpoch_) - 1; }
-    bool barred() const { return seedsLost_.size() > 1; }
+    int disksLost() const { return disksLost_; }
+    int changes() const { return static_cast<int>(newestEpoch_) - 1; }
+    bool startBlocked() const { return seedsLost_.size() > 1; }
     int holder() const {  // -1: none
         for (size_t i = 0; i < nodes_.size(); ++i) {
-            if (nodes_[i].core && nodes_[i].core->duty().held) return static_cast<int>(i);
+            if (nodes_[i].core && nodes_[i].core->lease().held) return static_cast<int>(i);
         }
         return -1;
     }
@@ -91,7 +92,7 @@
     }
 
     // ---- clients: writers of rising versions and readers, at random cores
-    void client() {
+    void runClient() {
         if (quiet_) return;
         const size_t i = anyNode();
         Node& n = nodes_[i];
@@ -99,30 +100,30 @@
             if (chance(0.5)) {
                 if (chance(0.85)) version_ += 1 + below(3);
                 const int64_t version = std::max<int64_t>(1, version_ - (chance(0.15) ? below(4) : 0));
-                const Value first = textOf(version);
+                const Value first = randomValue(version);
                 writeAt(i, first);
                 // Another operator at another core, at the same instant or soon: the same number with another
                 // text, or the same order once more.
                 if (chance(0.2)) {
-                    const Value second = chance(0.7) ? textOf(version) : first;
+                    const Value second = chance(0.7) ? randomValue(version) : first;
                     at(chance(0.5) ? 1 : below(millis(300)), [this, second] { writeAt(anyNode(), second); });
                 }
             } else {
                 const uint64_t ticket = ++ticket_;
-                n.asked[ticket] = {true, acked_};
+                n.pendingTickets[ticket] = {true, acknowledged_};
                 n.core->read(clock(i), ticket);
             }
             drain(i);
         }
-        at(millis(20) + below(millis(250)), [this] { client(); });
+        at(millis(20) + below(millis(250)), [this] { runClient(); });
     }
     size_t anyNode() {
         size_t i = 0;
         do i = static_cast<size_t>(below(static_cast<int64_t>(nodes_.size())));
-        while (nodes_[i].gone);
+        while (nodes_[i].removed);
         return i;
     }
-    Value textOf(int64_t version) {
+    Value randomValue(int64_t version) {
         Value v;
         v.version = version;
         v.digest = random_();
@@ -133,17 +134,17 @@
         Node& n = nodes_[i];
         if (!n.core || now_ < n.frozenUntil) return;
         const uint64_t ticket = ++ticket_;
-        n.asked[ticket] = {false, value};
+        n.pendingTickets[ticket] = {false, value};
         n.core->write(clock(i), ticket, std::make_shared<const Value>(value));
         drain(i);
     }
-    void answered(size_t i, const Answer& a) override {
-        const auto it = nodes_[i].asked.find(a.ticket);
+    void answered(size_t i, const OperationResult& a) override {
+        const auto it = nodes_[i].pendingTickets.find(a.ticket);
         if (changing_.erase(a.ticket) > 0) return;
-        if (it == nodes_[i].asked.end()) return fail("an answer nobody asked for");
+        if (it == nodes_[i].pendingTickets.end()) return fail("an answer nobody asked for");
         const auto [reading, wanted] = it->second;
-        nodes_[i].asked.erase(it);
-        if (a.how != Answer::done && a.how != Answer::conflict) return;
+        nodes_[i].pendingTickets.erase(it);
+        if (a.outcome != OperationResult::done && a.outcome != OperationResult::conflict) return;
         const Value none;
         const Value& got = a.value ? *a.value : none;
         const bool same = got.version == wanted.version && got.digest == wanted.digest;
@@ -156,52 +157,52 @@
             const uint64_t told = texts_.emplace(got.version, got.digest).first->second;
             if (told != got.digest) fail("two texts under version " + std::to_string(got.version));
         }
-        if (!reading && got.version == wanted.version && same != (a.how == Answer::done)) {
+        if (!reading && got.version == wanted.version && same != (a.outcome == OperationResult::done)) {
             fail("a write of version " + std::to_string(got.version) + " was told of another text's fate");
         }
-        if (a.how == Answer::conflict) {
+        if (a.outcome == OperationResult::conflict) {
             ++conflicts_;
             return;
         }
         if (got.version > 0 && got.body != std::to_string(got.version) + ":" + std::to_string(got.digest)) {
             fail("a body that was not sent under its number");
         }
-        if (got.version > acked_.version) acked_ = got;
+        if (got.version > acknowledged_.version) acknowledged_ = got;
         // The worst instant: whatever was acknowledged too early is gone now.
         if (plan_.faults && !healed_ && chance(0.01)) at(0, [this] { powerLoss(); });
-        if (acknowledged_ && !healed_) acknowledged_();
+        if (onAcknowledged_ && !healed_) onAcknowledged_();
         ++(reading ? doneReads_ : doneWrites_);
     }
-    void dutyChanged(size_t i, const Duty& d) override {
+    void leaseChanged(size_t i, const Lease& d) override {
         if (!d.held) return;
         if (d.term <= lastTerm_) fail("term " + std::to_string(d.term) + " won again by " + nodes_[i].id);
         lastTerm_ = std::max(lastTerm_, d.term);
     }
     void stateChanged(size_t i) override {
-        judgeHolders();
-        judgeVoters(i);
+        checkHolders();
+        checkVoters(i);
     }
-    void judgeHolders() {
+    void checkHolders() {
         int valid = 0;
         for (size_t i = 0; i < nodes_.size(); ++i) {
             const auto& core = nodes_[i].core;
-            valid += core && core->duty().held && clock(i) < core->duty().validUntil;
+            valid += core && core->lease().held && clock(i) < core->lease().validUntil;
         }
         if (valid > 1) fail("two hold the duty at once");
     }
-    void judgeVoters(size_t i) {
+    void checkVoters(size_t i) {
         const auto& voters = nodes_[i].core->voters();
         if (voters.empty()) return;
         const uint64_t epoch = nodes_[i].core->epoch();
         const auto& one = voterSets_.emplace(epoch, voters).first->second;
         if (voters != one) fail("two voterSets in one epoch");
-        if (epoch > lastEpoch_ && std::getenv("CONSENSUS_TRACE")) {
+        if (epoch > newestEpoch_ && std::getenv("CONSENSUS_TRACE")) {
             std::printf("%8.3f epoch %lu:", static_cast<double>(now_) / 1e6, epoch);
             for (const NodeId& n : voters) std::printf(" %s", n.c_str());
             std::printf("\n");
         }
-        if (epoch > lastEpoch_ && votersChange_) votersChange_(voterSets_[lastEpoch_], voters);
-        lastEpoch_ = std::max(lastEpoch_, epoch);
+        if (epoch > newestEpoch_ && onVotersChange_) onVotersChange_(voterSets_[newestEpoch_], voters);
+        newestEpoch_ = std::max(newestEpoch_, epoch);
     }
     // One core leaves the voters, more often one that is away, and another comes; now and then two or none.
     void changeVoters() {
@@ -224,17 +225,17 @@
             if (chance(0.4)) gone.push_back(any(in));
             if (chance(0.05)) gone.clear();
             changing_.insert(++ticket_);
-            n.core->change(clock(i), ticket_, gone, come);
+            n.core->changeVoters(clock(i), ticket_, gone, come);
             drain(i);
         }
         at(millis(200 + below(2500)), [this] { changeVoters(); });
     }
 
     // ---- troubles
-    void trouble() {
+    void injectFault() {
         if (healed_) return;
         const size_t i = static_cast<size_t>(below(static_cast<int64_t>(nodes_.size())));
-        if (plan_.cornered && chance(0.3)) corner();
+        if (plan_.isolatesHolder && chance(0.3)) isolateHolder();
         const int64_t kind = below(100);
         if (kind < 20) {
             // Of one, or of any: a process that ends is often there again at once.
@@ -248,7 +249,7 @@
         } else if (kind < 35) {
             powerLoss();
         } else if (kind < 60) {
-            wipe(i, chance(0.3));
+            loseDisk(i, chance(0.3));
         } else if (kind < 75) {
             nodes_[i].frozenUntil = now_ + millis(below(4000));
         } else if (kind < 85) {
@@ -261,14 +262,14 @@
             }
             at(millis(500 + below(4000)), [this] { cut_.clear(); });
         } else if (kind < 92) {
-            nodes_[i].diskSick = true;
-            at(millis(below(2500)), [this, i] { nodes_[i].diskSick = false; });
+            nodes_[i].diskRefusesWrites = true;
+            at(millis(below(2500)), [this, i] { nodes_[i].diskRefusesWrites = false; });
         } else {
             loss_ = chance(0.3) ? 0 : static_cast<double>(below(300)) / 1000;
         }
-        at(millis(chance(0.3) ? below(60) : below(2500)), [this] { trouble(); });
+        at(millis(chance(0.3) ? below(60) : below(2500)), [this] { injectFault(); });
     }
-    void corner() {
+    void isolateHolder() {
         if (holder() < 0) return;
         const auto h = static_cast<size_t>(holder());
         for (size_t i = 0; i < nodes_.size(); ++i) {
@@ -289,16 +290,16 @@
         }
     }
     // No more disks are away at a time than may be lost.
-    void wipe(size_t i, bool andAnother) {
+    void loseDisk(size_t i, bool andAnother) {
         int away = 0;
-        for (const Node& n : nodes_) away += n.wiped;
-        if (away >= plan_.losses || nodes_[i].wiped) return;
+        for (const Node& n : nodes_) away += n.diskLost;
+        if (away >= plan_.losses || nodes_[i].diskLost) return;
         // A member that has not taken the newest voters over yet is away like one that is down: it would be
         // one more.
         for (const Node& n : nodes_) {
             const bool on =
                 plan_.spares > 0 && !voterSets_.empty() && contains(voterSets_.rbegin()->second, n.id);
-            if (on && (!n.core || n.core->recovering() || n.core->epoch() != lastEpoch_)) ++away;
+            if (on && (!n.core || n.core->isRecovering() || n.core->epoch() != newestEpoch_)) ++away;
         }
         if (away >= plan_.losses) return;
         // A set of voters that was agreed on late, with too few on it, bears fewer.
@@ -307,44 +308,45 @@
             return;
         // Two of three electors lost before there is a set of voters: that is not survived, see
         // Core::beginAnew.
-        if (voterSets_.empty() && plan_.losses > 1 && !plan_.bareSeeds) return;
+        if (voterSets_.empty() && plan_.losses > 1 && !plan_.losesSeedDisks) return;
         if (voterSets_.empty() && i < 3) seedsLost_.insert(i);
         if (chance(0.3)) powerLoss();
         kill(i);
         nodes_[i].disk.reset();
-        nodes_[i].wiped = true;
-        ++wipes_;
+        nodes_[i].diskLost = true;
+        ++disksLost_;
         at(millis(below(1500)), [this, i] { start(i, false); });
         // As many at one blow as may be lost.
-        if (andAnother) wipe(static_cast<size_t>(below(static_cast<int64_t>(nodes_.size()))), true);
+        if (andAnother) loseDisk(static_cast<size_t>(below(static_cast<int64_t>(nodes_.size()))), true);
     }
     void heal() {
         healed_ = true;
         loss_ = 0;
         cut_.clear();
         for (size_t i = 0; i < nodes_.size(); ++i) {
-            nodes_[i].diskSick = false;
+            nodes_[i].diskRefusesWrites = false;
             nodes_[i].frozenUntil = 0;
             at(millis(below(100)), [this, i] { start(i, false); });
         }
     }
 
-    static constexpr int64_t kQuietMillis = 2000;  // without changes, at the end: all must be level by then
+    static constexpr int64_t kQuietPeriodMillis =
+        2000;  // without changes, at the end: all must be level by then
     bool quiet_ = false;
     bool healed_ = false;
     uint64_t ticket_ = 0;
     int64_t version_ = 0;
     std::map<int64_t, uint64_t> texts_;  // by version: the digest that was told
     int conflicts_ = 0;
-    Value acked_;
+    Value acknowledged_;
     uint64_t lastTerm_ = 0;
-    std::function<void(const std::vector<NodeId>& before, const std::vector<NodeId>& after)> votersChange_;
-    std::function<void()> acknowledged_;  // a write or a read has just been done
+    std::function<void(const std::vector<NodeId>& before, const std::vector<NodeId>& after)> onVotersChange_;
+    std::function<void()> onAcknowledged_;  // a write or a read has just been done
     std::map<uint64_t, std::vector<NodeId>> voterSets_;
-    uint64_t lastEpoch_ = 1;
+    uint64_t newestEpoch_ = 1;
     std::set<uint64_t> changing_;
     std::set<size_t> seedsLost_;  // before there was a set of voters
-    int doneWrites_ = 0, doneReads_ = 0, calmWrites_ = 0, calmReads_ = 0, wipes_ = 0;
+    int doneWrites_ = 0, doneReads_ = 0, writesBeforeEnd_ = 0, readsBeforeEnd_ = 0, disksLost_ = 0;
 };
 
 }  // namespace petrelpond::consensus::sim
--- a/system/control_plane/backlog.hpp
+++ b/system/control_plane/backlog.hpp
@@ -1,7 +1,7 @@
 // Senders' reports that wait for the planner, in the order in which they came, taken a few a turn.
 //
 // Against a crowd: the reports of all senders in one turn took a small machine longer than the duty's
-// leaseTime, so the holder gave the duty up in their midst, and again each time that it had won it back.
+// leaseDuration, so the holder gave the duty up in their midst, and again each time that it had won it back.
 // Harm: reports that wait are older by a turn or more.
 #pragma once
 
@@ -17,7 +17,7 @@
 
 class Backlog {
   public:
-    // Some 0.1 s of the smallest machine at their longest, as whole ones: far below the leaseTime.
+    // Some 0.1 s of the smallest machine at their longest, as whole ones: far below the leaseDuration.
     static constexpr size_t kATurn = 16;
 
     void push(Instant now, uint64_t link, std::string_view report) {
--- a/system/control_plane/control.cpp
+++ b/system/control_plane/control.cpp
@@ -107,18 +107,18 @@
     auto taken = keeper_->takeFound();
     if (auto* problem = std::get_if<network::Problem>(&taken))
         spdlog::error("{}; this machine's part of the state is taken for lost", problem->line());
-    std::optional<consensus::Durable> found;
-    if (auto* whole = std::get_if<std::optional<consensus::Durable>>(&taken)) found = std::move(*whole);
+    std::optional<consensus::DurableState> found;
+    if (auto* whole = std::get_if<std::optional<consensus::DurableState>>(&taken)) found = std::move(*whole);
     consensus::Options o;
     o.self = settings_.ip;
     for (const auto& seed : settings_.seeds) o.seeds.push_back(seed.ip);
-    o.bootstrap = settings_.bootstrap, o.counted = settings_.quorumMember;
+    o.bootstrap = settings_.bootstrap, o.mayVote = settings_.quorumMember;
     o.machineLosses = settings_.tolerance.machineLosses;
-    o.chance = chance_, o.defect = defect_;
-    o.beat = kDutyBeat, o.leaseTime = kDutyLapse;
+    o.randomSeed = chance_, o.defect = defect_;
+    o.heartbeatInterval = kDutyBeat, o.leaseDuration = kDutyLapse;
     spdlog::info("state: {} bootstrap={} counted={} saves={} version={}",
-                 found ? "found on disk" : "disk is empty", o.bootstrap, o.counted, found ? found->saves : 0,
-                 found ? found->value.version : 0);
+                 found ? "found on disk" : "disk is empty", o.bootstrap, o.mayVote,
+                 found ? found->saveCount : 0, found ? found->value.version : 0);
     core_ = std::make_unique<consensus::Core>(loop_.now(), o, std::move(found));
     loop_.watch(keeperFd_, EPOLLIN, this);
     control_ = network::Listener::open(
@@ -149,7 +149,7 @@
     settings_.seeds = settings.seeds;
     std::vector<std::string> cores;
     for (const auto& seed : settings.seeds) cores.push_back(seed.ip);
-    core_->learnOf(loop_.now(), cores);
+    core_->addPeers(loop_.now(), cores);
     pumpSoon();
 }
 
@@ -192,7 +192,7 @@
     value->body = configuration::packed(c.text);  // as disks and links of cores carry it
     // Refused at once where no majority can be reached, so that the operator goes on to another core. What
     // the state would say only after its operationTimeout is over.
-    if (core_->cutOff(loop_.now())) return noMajority(*visit->second, "configuration write");
+    if (core_->isCutOff(loop_.now())) return noMajority(*visit->second, "configuration write");
     uint64_t ticket = nextTicket_++;
     const int64_t version = value->version;
     tickets_[ticket] = {c.visit, true, version};
@@ -202,7 +202,7 @@
 void Control::run(const GetConfiguration& c) {
     ++gets_;
     auto visit = visits_.find(c.visit);
-    if (visit != visits_.end() && core_->cutOff(loop_.now()))
+    if (visit != visits_.end() && core_->isCutOff(loop_.now()))
         return noMajority(*visit->second, "configuration read");
     uint64_t ticket = nextTicket_++;
     tickets_[ticket] = {c.visit, false, 0};
@@ -213,7 +213,7 @@
     if (!visits_.count(c.visit)) return;
     uint64_t ticket = nextTicket_++;
     tickets_[ticket] = {c.visit, false, 0, true};
-    core_->change(loop_.now(), ticket, c.gone, c.come);
+    core_->changeVoters(loop_.now(), ticket, c.gone, c.come);
 }
 
 void Control::noMajority(HttpVisit& visit, const char* what) {
@@ -223,32 +223,32 @@
                  json("no majority of the disks answered in time"));
 }
 
-void Control::answered(const consensus::Answer& a) {
+void Control::answered(const consensus::OperationResult& a) {
     auto found = tickets_.find(a.ticket);
     if (found == tickets_.end()) return;
     Ticket t = found->second;
     tickets_.erase(found);
     auto visit = visits_.find(t.visit);
     if (visit == visits_.end()) return;
-    if (a.how == consensus::Answer::refused) {
-        spdlog::info("voters: change refused: {}", a.why);
-        return visit->second->answer(409, kJson, json(a.why));
+    if (a.outcome == consensus::OperationResult::refused) {
+        spdlog::info("voters: change refused: {}", a.reason);
+        return visit->second->answer(409, kJson, json(a.reason));
     }
-    if (t.voters && a.how == consensus::Answer::done) {
+    if (t.voters && a.outcome == consensus::OperationResult::done) {
         std::string all;
         for (const auto& ip : core_->voters()) all += (all.empty() ? "\"" : ",\"") + ip + "\"";
         spdlog::info("voters: epoch {} is at work: {}", core_->epoch(), all);
         return visit->second->answer(
             200, kJson, "{\"epoch\":" + std::to_string(core_->epoch()) + ",\"voters\":[" + all + "]}");
     }
-    if (a.how == consensus::Answer::conflict) {
+    if (a.outcome == consensus::OperationResult::conflict) {
         ++conflicts_;
         spdlog::warn("configuration {}: refused, another text is in force under this version", t.version);
         return visit->second->answer(
             409, kJson,
             json("version " + std::to_string(t.version) + " has another text; take a higher one"));
     }
-    if (a.how != consensus::Answer::done) {
+    if (a.outcome != consensus::OperationResult::done) {
         const char* what = t.voters ? "voters change" : t.put ? "configuration write" : "configuration read";
         return noMajority(*visit->second, what);
     }
@@ -280,11 +280,11 @@
     for (const auto& result : keeper_->collect()) {
         if (result.ok) {
             saveFailedLast_ = false;
-            core_->saved(loop_.now(), result.token);
+            core_->handleSaved(loop_.now(), result.token);
         } else {
             ++saveFailures_, saveFailedLast_ = true;
             spdlog::error("state: {}", result.why);
-            core_->saveFailed(loop_.now(), result.token);
+            core_->handleSaveFailure(loop_.now(), result.token);
         }
     }
     pumpSoon();
@@ -298,16 +298,16 @@
 
 void Control::pump() {
     pumping_ = false;
-    while (auto output = core_->next()) {
-        if (auto* s = std::get_if<consensus::Send>(&*output))
+    while (auto output = core_->nextOutput()) {
+        if (auto* s = std::get_if<consensus::SendRequest>(&*output))
             toPeer(s->to, s->message);
-        else if (auto* s = std::get_if<consensus::Save>(&*output))
+        else if (auto* s = std::get_if<consensus::SaveRequest>(&*output))
             ++saves_, keeper_->save(std::move(*s));
-        else if (auto* a = std::get_if<consensus::Answer>(&*output))
+        else if (auto* a = std::get_if<consensus::OperationResult>(&*output))
             answered(*a);
-        else if (auto* n = std::get_if<consensus::News>(&*output))
+        else if (auto* n = std::get_if<consensus::ValueChosen>(&*output))
             news(n->value);
-        else if (auto* d = std::get_if<consensus::Duty>(&*output))
+        else if (auto* d = std::get_if<consensus::Lease>(&*output))
             duty(*d);
     }
     followContact();
@@ -319,7 +319,7 @@
     // What is armed sooner stays. Against calls that come faster than the millisecond: each of them used to
     // put the core's next turn off by one more, so no duty was won, renewed or told while they lasted. Harm:
     // a turn for nothing where the core meanwhile has more time.
-    Instant wake = std::max(core_->wakeAt(), loop_.now() + Span::millis(1));
+    Instant wake = std::max(core_->nextWakeup(), loop_.now() + Span::millis(1));
     if (timer_ != 0 && armedFor_ <= wake) return;
     loop_.cancel(timer_);
     armedFor_ = wake;
@@ -350,7 +350,7 @@
 }
 
 void Control::news(const std::shared_ptr<const consensus::Value>& value) {
-    if (!value || (value_ && !value->newerThan(*value_))) return;
+    if (!value || (value_ && !value->isNewerThan(*value_))) return;
     auto text = configuration::unpackedOrPlain(value->body, network::kMostConfiguration);
     if (!text || configuration::digest(*text) != value->digest)
         return spdlog::error("configuration {}: register: can't be unpacked", value->version);
@@ -362,7 +362,7 @@
     beatSoon();
 }
 
-void Control::duty(const consensus::Duty& d) {
+void Control::duty(const consensus::Lease& d) {
     bool was = duty_.held;
     uint64_t term = duty_.term;
     duty_ = d;
@@ -417,7 +417,7 @@
     guest.link->say(
         Kind::beat,
         network::Beat{value_ ? value_->version : 0, value_ ? value_->digest : 0, duty_.term, duty_.holder,
-                      static_cast<uint32_t>(agentByName_.size()), core_->inContact(loop_.now())});
+                      static_cast<uint32_t>(agentByName_.size()), core_->isInContact(loop_.now())});
 }
 
 void Control::welcome(Guest& guest) {
@@ -478,7 +478,8 @@
             break;
         case Kind::coreMessage:
             if (guest.coreIp.empty()) break;
-            if (auto m = consensus::decode(payload)) core_->heard(loop_.now(), guest.coreIp, *m), pumpSoon();
+            if (auto m = consensus::decode(payload))
+                core_->receive(loop_.now(), guest.coreIp, *m), pumpSoon();
             break;
         case Kind::hello: {
             auto h = network::unpacked<network::Hello>(payload);
@@ -545,7 +546,7 @@
         link.close();
         loop_.bury(std::move(peer.link));
         peer.waiting.clear();
-        core_->lost(loop_.now(), ip);
+        core_->handleLinkLoss(loop_.now(), ip);
         return pumpSoon();
     }
     auto found = guests_.find(link.tag);
@@ -560,13 +561,13 @@
         if (named != agentByName_.end() && named->second == link.tag) agentByName_.erase(named);
         if (scalerHost_) scalerHost_->unlinked(guest.hello.name, closed);
     }
-    if (!guest.coreIp.empty()) core_->lost(loop_.now(), guest.coreIp), pumpSoon();
+    if (!guest.coreIp.empty()) core_->handleLinkLoss(loop_.now(), guest.coreIp), pumpSoon();
 }
 
 // Agents are told at once. Against a start of all: those without a configuration ask only a core that is in
 // contact, and waited for its next heartbeat. Harm: one heartbeat more to each agent.
 void Control::followContact() {
-    if (core_->inContact(loop_.now()) == inContact_) return;
+    if (core_->isInContact(loop_.now()) == inContact_) return;
     inContact_ = !inContact_;
     spdlog::info("state: {} with a majority of the cores", inContact_ ? "in contact" : "out of contact");
     beatSoon();
@@ -574,7 +575,7 @@
 
 // Two disks that wait for each other look like a cut otherwise: both only say that no majority is reached.
 void Control::followRebuilding() {
-    if (core_->recovering() == rebuilding_) return;
+    if (core_->isRecovering() == rebuilding_) return;
     rebuilding_ = !rebuilding_;
     spdlog::info("state: {}", rebuilding_
                                   ? "this disk counts as lost and waits to be rebuilt by other members"
@@ -587,7 +588,7 @@
 void Control::followLostVoters() {
     const Instant now = loop_.now();
     const auto voters = static_cast<int>(core_->voters().size());
-    const int lost = core_->lostVoters(now);
+    const int lost = core_->lostVoterCount(now);
     if (lost <= (voters - 1) / 2) {
         if (tooManyLostTold_) spdlog::info("state: a majority of the disks is whole again");
         tooManyLostSince_ = Instant::never();
@@ -622,7 +623,7 @@
 void Control::leave() {
     if (leaving_) return;
     leaving_ = true, leavingSince_ = loop_.now();
-    core_->release(loop_.now());
+    core_->beginLeave(loop_.now());
     pump();
     for (auto& [id, visit] : visits_) visit->closeWhenIdle();
 }
@@ -644,8 +645,8 @@
         "save_failures={} voters={} recovering={} told={} lost_voters={} claims={} version={} term={} "
         "holder={}",
         puts_, acked_, invalid_, conflicts_, noMajority_, gets_, agentByName_.size(), agentBreaks_,
-        core_->peers().size(), saves_, saveFailures_, core_->voters().size(), core_->recovering(),
-        core_->toldMembers(), core_->lostVoters(loop_.now()), core_->claimsListed(),
+        core_->peers().size(), saves_, saveFailures_, core_->voters().size(), core_->isRecovering(),
+        core_->recoverReplyCount(), core_->lostVoterCount(loop_.now()), core_->listedClaimCount(),
         value_ ? value_->version : 0, duty_.term, duty_.holder);
     if (scalerHost_) scalerHost_->logCounters();
 }
--- a/system/control_plane/control.hpp
+++ b/system/control_plane/control.hpp
@@ -93,9 +93,9 @@
     void arm();
     void toPeer(const std::string& ip, const consensus::Message&);
     void noMajority(network::HttpVisit&, const char* what);
-    void answered(const consensus::Answer&);
+    void answered(const consensus::OperationResult&);
     void news(const std::shared_ptr<const consensus::Value>&);
-    void duty(const consensus::Duty&);
+    void duty(const consensus::Lease&);
     void reportsSoon(Instant at);
     void takeReports();
     void beatAgents();
@@ -137,7 +137,7 @@
     std::shared_ptr<const consensus::Value> value_;  // the newest that is known to lie on a majority
     std::shared_ptr<const configuration::Configuration> configuration_;  // of value_
     configuration::HeldText texts_;                                      // of value_ and those before it
-    consensus::Duty duty_;
+    consensus::Lease duty_;
     uint64_t nextVisit_ = 1, nextTag_ = 1, nextTicket_ = 1;
     bool pumping_ = false, beating_ = false, leaving_ = false, saveFailedLast_ = false, inContact_ = false,
          rebuilding_ = false;
--- a/system/control_plane/main.cpp
+++ b/system/control_plane/main.cpp
@@ -18,10 +18,10 @@
     consensus::Defect defect = consensus::Defect::none;
 #ifdef PETRELPOND_RANGE_FAULTS  // the range's own set of the programs: it must find these
     const std::string_view said = std::getenv("PETRELPOND_TWIN") ? std::getenv("PETRELPOND_TWIN") : "";
-    if (said == "hasty-amnesiac") defect = consensus::Defect::hastyAmnesiac;
+    if (said == "hasty-amnesiac") defect = consensus::Defect::skipsRecovery;
     if (said == "ack-before-sync") defect = consensus::Defect::ackBeforeSync;
     if (said == "no-write-back") defect = consensus::Defect::noWriteBack;
-    if (said == "forgets-promise") defect = consensus::Defect::forgetsPromise;
+    if (said == "forgets-promise") defect = consensus::Defect::forgetsPromises;
 #endif
     control_plane::Control control(loop, start->settings, start->chance, defect);
     std::string error;
--- a/system/control_plane/status.cpp
+++ b/system/control_plane/status.cpp
@@ -64,7 +64,7 @@
     for (size_t i = 0; i < std::min(all.size(), kMostCores); ++i) {
         w.StartObject();
         text(w, "ip", all[i].node);
-        yes(w, "votes", all[i].votes), yes(w, "catching_up", all[i].catchingUp);
+        yes(w, "votes", all[i].isVoter), yes(w, "catching_up", all[i].catchingUp);
         yes(w, "standby", all[i].standby), yes(w, "leaving", all[i].leaving);
         yes(w, "suspected", all[i].suspected), seconds(w, "silent_s", all[i].silent);
         w.EndObject();
@@ -81,17 +81,17 @@
     w.StartObject();
     text(w, "name", settings_.nodeName), text(w, "ip", settings_.ip), text(w, "zone", settings_.zone);
     yes(w, "leaving", leaving_);
-    yes(w, "in_contact", core_->inContact(now));  // with a majority, lately: else what follows may be old
+    yes(w, "in_contact", core_->isInContact(now));  // with a majority, lately: else what follows may be old
 
     w.Key("configuration"), w.StartObject();
-    auto held = core_->held();
+    auto held = core_->newestValue();
     version(w, "on_majority", value_ ? value_->version : 0);  // 0: none known
     version(w, "held", held ? held->version : 0);
     w.EndObject();
 
     w.Key("disk"), w.StartObject();
-    yes(w, "counts", selfIsVoter && !core_->recovering() && !saveFailedLast_);
-    yes(w, "is_voter", selfIsVoter), yes(w, "recovering", core_->recovering());
+    yes(w, "counts", selfIsVoter && !core_->isRecovering() && !saveFailedLast_);
+    yes(w, "is_voter", selfIsVoter), yes(w, "recovering", core_->isRecovering());
     yes(w, "last_save_failed", saveFailedLast_);
     w.EndObject();
 
@@ -120,7 +120,7 @@
     w.EndArray();
 
     w.Key("duty"), w.StartObject();
-    const consensus::Duty duty = core_->duty();
+    const consensus::Lease duty = core_->lease();
     const bool here = duty.held && duty.validUntil > now;
     text(w, "holder", duty.holder), number(w, "term", duty.term), yes(w, "held_here", here);
     if (here) seconds(w, "left_s", duty.validUntil - now);
