--- a/system/agent/agent.cpp
+++ b/system/agent/agent.cpp
@@ -32,8 +32,8 @@
 
 gossip::Options viewOptions(const configuration::Settings& s, uint64_t life, uint32_t chance) {
     gossip::Options o;
-    o.self.name = s.nodeName, o.self.ip = s.ip, o.self.zone = s.zone, o.self.life = life;
-    o.chance = chance;
+    o.self.name = s.nodeName, o.self.ip = s.ip, o.self.zone = s.zone, o.self.incarnation = life;
+    o.randomSeed = chance;
     return o;
 }
 
@@ -66,7 +66,7 @@
         [this](network::Address from, std::string_view bytes) {
             if (auto message = gossip::decode(bytes)) {
                 std::string ip = from.text();
-                views_.heard(loop_.now(), ip.substr(0, ip.find(':')), *message);
+                views_.receive(loop_.now(), ip.substr(0, ip.find(':')), *message);
                 pump();
             }
         },
@@ -159,10 +159,10 @@
                 std::vector<gossip::Peer> peers;
                 for (const auto& k : w->senders) {
                     gossip::Peer p;
-                    p.name = k.name, p.ip = k.ip, p.zone = k.zone, p.life = k.life;
+                    p.name = k.name, p.ip = k.ip, p.zone = k.zone, p.incarnation = k.life;
                     peers.push_back(p);
                 }
-                views_.told(loop_.now(), peers);
+                views_.addPeers(loop_.now(), peers);
             }
         } else if (kind == Kind::config) {
             if (auto c = network::unpacked<network::Config>(payload)) take(*c);
@@ -268,7 +268,7 @@
     asking_.taken();
     ++configs_;
     toProxy(Kind::config, network::packed(c));
-    views_.know(loop_.now(), {c.version, c.digest, term_, holder_});
+    views_.updateDigest(loop_.now(), {c.version, c.digest, term_, holder_});
     spdlog::info("configuration {} taken, {} bytes", c.version, c.bytes.size());
 }
 
@@ -276,7 +276,7 @@
     if (term < term_ || (term == term_ && holder == holder_)) return;
     term_ = term, holder_ = holder;
     meetCore(holder);
-    views_.know(loop_.now(), {config_.id().version, config_.id().digest, term_, holder_});
+    views_.updateDigest(loop_.now(), {config_.id().version, config_.id().digest, term_, holder_});
     spdlog::info("startup duty: term {} held by {}", term, holder.empty() ? "nobody" : holder);
     tellProxy();
 }
@@ -289,7 +289,7 @@
 void Agent::tellProxy() {
     if (proxy_ == 0) return;
     network::Standing s;
-    s.senders = static_cast<uint32_t>(std::max(1.0, std::round(views_.count(loop_.now()))));
+    s.senders = static_cast<uint32_t>(std::max(1.0, std::round(views_.estimateAlive(loop_.now()))));
     s.term = term_;
     auto core = cores_.find(holder_);
     s.linked = core != cores_.end() && core->second.link && core->second.link->isUp();
@@ -358,7 +358,7 @@
             }
             link->tag = tag;
             guests_[tag] = Guest{std::move(link), f->ip};
-        } else if (auto* h = std::get_if<gossip::HolderNews>(&*output)) {
+        } else if (auto* h = std::get_if<gossip::HolderChange>(&*output)) {
             duty(h->term, h->holder);
         }
     }
@@ -384,7 +384,7 @@
         "counters cores={} cores_up={} core_breaks={} configs={} configs_refused={} fetches={} term={} "
         "senders={:.0f}",
         cores_.size(), up, coreBreaks_, configs_, refusedConfigs_, fetches_, term_,
-        views_.count(loop_.now()));
+        views_.estimateAlive(loop_.now()));
 }
 
 }  // namespace petrelpond::agent
--- a/system/agent/agent.hpp
+++ b/system/agent/agent.hpp
@@ -11,7 +11,7 @@
 #include "system/agent/known_core.hpp"
 #include "system/configuration/held_text.hpp"
 #include "system/configuration/settings.hpp"
-#include "system/gossip/views.hpp"
+#include "system/gossip/gossip_node.hpp"
 #include "system/network/link.hpp"
 #include "system/network/loop.hpp"
 
@@ -67,7 +67,7 @@
     configuration::Settings settings_;
     std::string loopbackIp_;
     uint64_t life_;
-    gossip::Views views_;
+    gossip::GossipNode views_;
     Asking asking_;
     std::map<std::string, CoreLink> cores_;
     std::map<uint64_t, Guest> guests_;
--- a/system/gossip/fleet_for_test.hpp
+++ b/system/gossip/fleet_for_test.hpp
@@ -9,74 +9,74 @@
 #include <queue>
 #include <set>
 
-#include "system/gossip/views.hpp"
+#include "system/gossip/gossip_node.hpp"
 
 namespace petrelpond::gossip {
 
 inline Instant at(double s) { return Instant() + Span::seconds(s); }
 
-inline Peer peer(size_t i, uint64_t life = 1) {
+inline Peer peer(size_t i, uint64_t incarnation = 1) {
     return {"edge-" + std::to_string(i),
             "10.0." + std::to_string(i / 250) + "." + std::to_string(i % 250 + 1),
             "zone-" + std::to_string(i % 3),
-            life,
+            incarnation,
             0,
             true};
 }
 
 class Fleet {
   public:
-    Fleet(size_t n, double loss, uint32_t seed, std::function<void(Options&)> change = {})
-        : loss_(loss), seed_(seed), change_(std::move(change)), rng_(seed), nodes_(n) {
+    Fleet(size_t n, double loss, uint32_t seed, std::function<void(Options&)> adjustOptions = {})
+        : loss_(loss), seed_(seed), adjustOptions_(std::move(adjustOptions)), rng_(seed), nodes_(n) {
         for (size_t i = 0; i < n; ++i) ips_[peer(i).ip] = i;
         for (size_t i = 0; i < n; ++i) start(i, 1, false);
-        for (size_t i = 0; i < n; ++i) tell(i);
+        for (size_t i = 0; i < n; ++i) introducePeers(i);
     }
 
     // The core names at most four others at random, as at a link.
-    void start(size_t i, uint64_t life, bool core = true) {
+    void start(size_t i, uint64_t incarnation, bool core = true) {
         Options o;
-        o.self = peer(i, life);
-        o.chance = static_cast<uint32_t>(seed_ * 100000 + i * 10 + life);
-        if (change_) change_(o);
-        nodes_[i] = std::make_unique<Views>(now, o);
+        o.self = peer(i, incarnation);
+        o.randomSeed = static_cast<uint32_t>(seed_ * 100000 + i * 10 + incarnation);
+        if (adjustOptions_) adjustOptions_(o);
+        nodes_[i] = std::make_unique<GossipNode>(now, o);
         frozen.erase(i);
-        if (core) tell(i);
-        after(i);
+        if (core) introducePeers(i);
+        processOutputs(i);
     }
-    void tell(size_t i) {
+    void introducePeers(size_t i) {
         std::vector<Peer> some;
         for (int k = 0; k < 4; ++k) {
             const size_t other = rng_() % nodes_.size();
             if (other != i && nodes_[other]) some.push_back(peer(other));
         }
-        nodes_[i]->told(now, some);
+        nodes_[i]->addPeers(now, some);
     }
     void kill(size_t i) { nodes_[i].reset(); }
-    Views& operator[](size_t i) { return *nodes_[i]; }
-    void know(size_t i, const Digest& d) {
-        nodes_[i]->know(now, d);
-        after(i);
+    GossipNode& operator[](size_t i) { return *nodes_[i]; }
+    void updateDigest(size_t i, const Digest& d) {
+        nodes_[i]->updateDigest(now, d);
+        processOutputs(i);
     }
     // Things done to a node from outside are pulled and its wake is set anew.
-    void after(size_t i) {
+    void processOutputs(size_t i) {
         while (auto o = nodes_[i]->next()) {
             if (auto* s = std::get_if<Send>(&*o)) {
                 std::string data = encode(s->message);
-                EXPECT_LE(data.size(), kMaxBytes);
+                EXPECT_LE(data.size(), kMaxMessageBytes);
                 ++datagrams;
                 bytes += data.size();
                 const auto to = ips_.find(s->ip);
-                if (to != ips_.end() && peer(i).zone != peer(to->second).zone) bytesAcross += data.size();
-                if (to == ips_.end() || cut(i, to->second) || real() < loss_) continue;
-                if (doubled > 0 && real() < doubled)
+                if (to != ips_.end() && peer(i).zone != peer(to->second).zone) crossZoneBytes += data.size();
+                if (to == ips_.end() || isCut(i, to->second) || randomShare() < loss_) continue;
+                if (duplicateShare > 0 && randomShare() < duplicateShare)
                     push({now + Span::millis(1 + rng_() % 2000), 0, to->second, i, data});
                 push({now + Span::millis(1 + rng_() % 80), 0, to->second, i, std::move(data)});
             } else if (auto* f = std::get_if<Fetch>(&*o)) {
                 ++fetches;
-                push({now + transfer(ips_.at(f->ip)), 0, i, ips_.at(f->ip), "fetch"});
+                push({now + transferTime(ips_.at(f->ip)), 0, i, ips_.at(f->ip), "fetch"});
             } else {
-                ++holderNews;
+                ++holderChanges;
             }
         }
         push({nodes_[i]->wakeAt(), 0, i, i, ""});
@@ -89,40 +89,40 @@
             now = std::max(now, e.when);
             if (!nodes_[e.to]) continue;
             if (frozen.count(e.to)) {
-                if (!e.data.empty()) held.push_back(e);  // waits in its socket
+                if (!e.data.empty()) heldEvents_.push_back(e);  // waits in its socket
                 continue;
             }
             if (e.data.empty()) {
                 if (nodes_[e.to]->wakeAt() > now) continue;  // a wake that was set anew
                 nodes_[e.to]->tick(now);
             } else if (e.data == "fetch") {
-                if (!nodes_[e.from] || frozen.count(e.from) || cut(e.to, e.from) ||
+                if (!nodes_[e.from] || frozen.count(e.from) || isCut(e.to, e.from) ||
                     failFetchFrom.count(e.from))
                     nodes_[e.to]->fetchFailed(now, peer(e.from).ip);
                 else
-                    nodes_[e.to]->know(now, nodes_[e.from]->digest());
+                    nodes_[e.to]->updateDigest(now, nodes_[e.from]->digest());
             } else {
                 const auto m = decode(e.data);
                 ASSERT_TRUE(m.has_value());
-                nodes_[e.to]->heard(now, peer(e.from).ip, *m);
+                nodes_[e.to]->receive(now, peer(e.from).ip, *m);
             }
-            after(e.to);
-            each();
+            processOutputs(e.to);
+            afterEachInput();
         }
         now = end;
     }
     void thaw(size_t i) {
         frozen.erase(i);
         std::vector<Event> mine;
-        std::swap(mine, held);
+        std::swap(mine, heldEvents_);
         for (Event& e : mine) {
             e.when = now;
             push(std::move(e));
         }
-        after(i);
+        processOutputs(i);
     }
     // Least share of the truly living that any agent knows.
-    double known() {
+    double leastKnownShare() {
         std::set<std::string> truly;
         for (size_t i = 0; i < nodes_.size(); ++i)
             if (nodes_[i] && !frozen.count(i)) truly.insert(peer(i).name);
@@ -130,24 +130,24 @@
         for (size_t i = 0; i < nodes_.size(); ++i) {
             if (!nodes_[i] || frozen.count(i)) continue;
             size_t k = 0;
-            for (const Peer& p : nodes_[i]->living(now)) k += truly.count(p.name);
+            for (const Peer& p : nodes_[i]->livePeers(now)) k += truly.count(p.name);
             least = std::min(least, static_cast<double>(k) / static_cast<double>(truly.size()));
         }
         return least;
     }
-    size_t believing(const std::string& name) {
+    size_t countBelieving(const std::string& name) {
         size_t k = 0;
         for (size_t i = 0; i < nodes_.size(); ++i)
             if (nodes_[i] && !frozen.count(i))
-                for (const Peer& p : nodes_[i]->living(now)) k += p.name == name;
+                for (const Peer& p : nodes_[i]->livePeers(now)) k += p.name == name;
         return k;
     }
-    size_t behind(int64_t version) {
+    size_t countBehind(int64_t version) {
         size_t k = 0;
         for (auto& n : nodes_) k += n && n->digest().version < version;
         return k;
     }
-    double until(double most, const std::function<bool()>& reached) {
+    double runUntil(double most, const std::function<bool()>& reached) {
         const Instant from = now;
         while ((now - from).inSeconds() < most && !reached()) run(0.25);
         return (now - from).inSeconds();
@@ -155,14 +155,14 @@
 
     Instant now = at(1000);
     std::set<size_t> frozen, failFetchFrom;
-    std::function<bool(size_t, size_t)> cut = [](size_t, size_t) { return false; };
-    size_t datagrams = 0, bytes = 0, bytesAcross = 0, fetches = 0, holderNews = 0;
+    std::function<bool(size_t, size_t)> isCut = [](size_t, size_t) { return false; };
+    size_t datagrams = 0, bytes = 0, crossZoneBytes = 0, fetches = 0, holderChanges = 0;
     // How long a configuration takes from that agent, asked for now.
-    std::function<Span(size_t)> transfer = [](size_t) { return Span::millis(5); };
-    std::function<void()> each = [] {};  // after each input
-    double doubled = 0;                  // share of datagrams that come twice
-    void loss(double now) { loss_ = now; }
-    bool lives(size_t i) const { return nodes_[i] != nullptr; }
+    std::function<Span(size_t)> transferTime = [](size_t) { return Span::millis(5); };
+    std::function<void()> afterEachInput = [] {};  // after each input
+    double duplicateShare = 0;                     // share of datagrams that come twice
+    void setLoss(double share) { loss_ = share; }
+    bool isRunning(size_t i) const { return nodes_[i] != nullptr; }
     size_t size() const { return nodes_.size(); }
 
   private:
@@ -174,20 +174,20 @@
         bool operator<(const Event& o) const { return when != o.when ? when > o.when : order > o.order; }
     };
     void push(Event e) {
-        e.order = ++pushed_;
+        e.order = ++pushedCount_;
         events_.push(std::move(e));
     }
-    double real() { return static_cast<double>(rng_() % 1000000) / 1e6; }
+    double randomShare() { return static_cast<double>(rng_() % 1000000) / 1e6; }
 
     double loss_;
     uint32_t seed_;
-    std::function<void(Options&)> change_;
+    std::function<void(Options&)> adjustOptions_;
     std::mt19937 rng_;
-    std::vector<std::unique_ptr<Views>> nodes_;
+    std::vector<std::unique_ptr<GossipNode>> nodes_;
     std::unordered_map<std::string, size_t> ips_;
     std::priority_queue<Event> events_;
-    std::vector<Event> held;
-    uint64_t pushed_ = 0;
+    std::vector<Event> heldEvents_;
+    uint64_t pushedCount_ = 0;
 };
 
 }  // namespace petrelpond::gossip
--- a/system/gossip/messages.cpp
+++ b/system/gossip/message_codec.cpp
@@ -1,13 +1,13 @@
 // Messages to bytes and back.
 #include <exception>
 
-#include "system/gossip/views.hpp"
+#include "system/gossip/gossip_node.hpp"
 
 namespace petrelpond::gossip {
 
 namespace {
 
-bool bounded(const Peer& p) {
+bool isWithinLimits(const Peer& p) {
     return !p.name.empty() && p.name.size() <= 64 && !p.ip.empty() && p.ip.size() <= 45 &&
            p.zone.size() <= 32;
 }
@@ -15,17 +15,17 @@
 }  // namespace
 
 std::string encode(const Message& m) {
-    msgpack::sbuffer buffer(kMaxBytes);
+    msgpack::sbuffer buffer(kMaxMessageBytes);
     msgpack::pack(buffer, m);
     return std::string(buffer.data(), buffer.size());
 }
 
 std::optional<Message> decode(std::string_view bytes) {
-    if (bytes.empty() || bytes.size() > kMaxBytes) return std::nullopt;
+    if (bytes.empty() || bytes.size() > kMaxMessageBytes) return std::nullopt;
     try {
         // The limits keep a few changed bytes from asking for much memory or a deep recursion. Strings are
         // left in the caller's bytes until they are converted, which is before those can go.
-        const msgpack::unpack_limit limits(64, 0, kMaxBytes, 0, 0, 4);
+        const msgpack::unpack_limit limits(64, 0, kMaxMessageBytes, 0, 0, 4);
         size_t end = 0;
         bool referenced = false;
         const auto inPlace = [](msgpack::type::object_type, size_t, void*) { return true; };
@@ -36,11 +36,12 @@
         if (o.type != msgpack::type::ARRAY || o.via.array.size != 6) return std::nullopt;
         Message m;
         o.convert(m);
-        if (m.kind > static_cast<uint8_t>(Kind::leave) || !bounded(m.from) || m.digest.holder.size() > 64)
+        if (m.kind > static_cast<uint8_t>(Kind::leave) || !isWithinLimits(m.from) ||
+            m.digest.holder.size() > 64)
             return std::nullopt;
-        if (m.riders.size() % 9 != 0 || m.wants.size() % 5 != 0) return std::nullopt;
+        if (m.heartbeats.size() % 9 != 0 || m.wantedIds.size() % 5 != 0) return std::nullopt;
         for (const Peer& p : m.peers)
-            if (!bounded(p)) return std::nullopt;
+            if (!isWithinLimits(p)) return std::nullopt;
         return m;
     } catch (const std::exception&) {  // msgpack's errors of parsing, of limits and of types
         return std::nullopt;
--- a/system/gossip/news_search_test.cpp
+++ b/system/gossip/schedule_search_test.cpp
@@ -16,42 +16,42 @@
 // Agents are killed, started, frozen; datagrams lost, doubled and late; the fleet cut in two; then all heals
 // but a tenth of the datagrams. Nothing known goes back within a life, nobody makes news up, the newest that
 // any living agent has is with all 30 s later, and all know exactly those who live. Empty: all held.
-std::string play(uint32_t seed, const std::function<void(Options&)>& change = {}) {
+std::string runSchedule(uint32_t seed, const std::function<void(Options&)>& adjustOptions = {}) {
     std::mt19937 random(seed);
-    const auto below = [&](size_t n) { return static_cast<size_t>(random() % std::max<size_t>(n, 1)); };
-    Fleet f(4 + below(8), 0.1, seed, change);
-    std::string broken;
+    const auto randomBelow = [&](size_t n) { return static_cast<size_t>(random() % std::max<size_t>(n, 1)); };
+    Fleet f(4 + randomBelow(8), 0.1, seed, adjustOptions);
+    std::string violation;
     std::vector<Digest> seen(f.size());
-    std::vector<uint64_t> life(f.size(), 1);
+    std::vector<uint64_t> incarnation(f.size(), 1);
     int64_t version = 0;
     uint64_t term = 0;
-    f.doubled = 0.05;
-    f.each = [&] {
-        for (size_t i = 0; i < f.size() && broken.empty(); ++i) {
-            if (!f.lives(i)) continue;
+    f.duplicateShare = 0.05;
+    f.afterEachInput = [&] {
+        for (size_t i = 0; i < f.size() && violation.empty(); ++i) {
+            if (!f.isRunning(i)) continue;
             const Digest& d = f[i].digest();
-            if (d.version < seen[i].version || d.term < seen[i].term) broken = "what was known went back";
-            if (d.version > version || d.term > term) broken = "news that nobody brought";
+            if (d.version < seen[i].version || d.term < seen[i].term) violation = "what was known went back";
+            if (d.version > version || d.term > term) violation = "news that nobody brought";
             seen[i] = d;
         }
     };
     // A core names to one that starts all that it has links to, up to 16.
-    const auto meet = [&](size_t i) {
+    const auto introduceAll = [&](size_t i) {
         std::vector<Peer> others;
         for (size_t k = 0; k < f.size(); ++k)
-            if (k != i && f.lives(k)) others.push_back(peer(k, life[k]));
-        f[i].told(f.now, others);
-        f.after(i);
+            if (k != i && f.isRunning(k)) others.push_back(peer(k, incarnation[k]));
+        f[i].addPeers(f.now, others);
+        f.processOutputs(i);
     };
-    const auto begin = [&](size_t i) {
-        f.start(i, ++life[i], false);
-        meet(i);
+    const auto restart = [&](size_t i) {
+        f.start(i, ++incarnation[i], false);
+        introduceAll(i);
     };
-    for (size_t i = 0; i < f.size(); ++i) meet(i);
+    for (size_t i = 0; i < f.size(); ++i) introduceAll(i);
     std::map<size_t, Instant> frozen, dead;
-    Instant whole = f.now;
-    for (const Instant until = f.now + Span::seconds(25); f.now < until && broken.empty();) {
-        f.run(0.02 * static_cast<double>(below(60)));
+    Instant healedAt = f.now;
+    for (const Instant until = f.now + Span::seconds(25); f.now < until && violation.empty();) {
+        f.run(0.02 * static_cast<double>(randomBelow(60)));
         for (auto it = frozen.begin(); it != frozen.end();) {
             if (f.now < it->second) {
                 ++it;
@@ -65,41 +65,41 @@
                 ++it;
                 continue;
             }
-            begin(it->first);
+            restart(it->first);
             it = dead.erase(it);
         }
-        if (f.now >= whole) f.cut = [](size_t, size_t) { return false; };
-        const size_t i = below(f.size());
-        if (!f.lives(i) || frozen.count(i)) continue;
-        switch (below(10)) {
+        if (f.now >= healedAt) f.isCut = [](size_t, size_t) { return false; };
+        const size_t i = randomBelow(f.size());
+        if (!f.isRunning(i) || frozen.count(i)) continue;
+        switch (randomBelow(10)) {
             case 0:
                 if (dead.size() + 2 >= f.size()) break;
                 f.kill(i);
                 seen[i] = {};
-                dead[i] = f.now + Span::millis(static_cast<int64_t>(200 + below(4000)));
+                dead[i] = f.now + Span::millis(static_cast<int64_t>(200 + randomBelow(4000)));
                 break;
             case 1:
                 f.frozen.insert(i);
-                frozen[i] = f.now + Span::millis(static_cast<int64_t>(below(9000)));
+                frozen[i] = f.now + Span::millis(static_cast<int64_t>(randomBelow(9000)));
                 break;
             case 2: {
                 const uint32_t side = random();
-                f.cut = [side](size_t a, size_t b) { return (side >> a & 1) != (side >> b & 1); };
-                whole = f.now + Span::millis(static_cast<int64_t>(1000 + below(12000)));
+                f.isCut = [side](size_t a, size_t b) { return (side >> a & 1) != (side >> b & 1); };
+                healedAt = f.now + Span::millis(static_cast<int64_t>(1000 + randomBelow(12000)));
                 break;
             }
             case 3:
-                f.loss(0.005 * static_cast<double>(below(80)));
+                f.setLoss(0.005 * static_cast<double>(randomBelow(80)));
                 break;
             case 4:
             case 5:
-                f.know(i, {++version, random(), term, "core"});
+                f.updateDigest(i, {++version, random(), term, "core"});
                 break;
             case 6:
-                f.know(i, {version, 0, ++term, "core-" + std::to_string(term)});
+                f.updateDigest(i, {version, 0, ++term, "core-" + std::to_string(term)});
                 break;
             case 7:
-                if (below(2))
+                if (randomBelow(2))
                     f.failFetchFrom.insert(i);
                 else
                     f.failFetchFrom.clear();
@@ -108,14 +108,14 @@
                 break;
         }
     }
-    f.cut = [](size_t, size_t) { return false; };
+    f.isCut = [](size_t, size_t) { return false; };
     f.failFetchFrom.clear();
-    f.loss(0.1);
-    f.doubled = 0;
+    f.setLoss(0.1);
+    f.duplicateShare = 0;
     for (const auto& [i, when] : frozen) f.thaw(i);
-    for (const auto& [i, when] : dead) begin(i);
+    for (const auto& [i, when] : dead) restart(i);
     f.run(30);
-    if (!broken.empty()) return broken;
+    if (!violation.empty()) return violation;
     Digest newest;
     for (size_t i = 0; i < f.size(); ++i) {
         newest.version = std::max(newest.version, f[i].digest().version);
@@ -126,32 +126,32 @@
         if (f[i].digest().term < newest.term) return "somebody does not know the holder";
     }
     // With a tenth lost one is out of sight now and then for a moment, but no two stay so.
-    f.until(10, [&] { return f.known() == 1; });
+    f.runUntil(10, [&] { return f.leastKnownShare() == 1; });
     for (size_t i = 0; i < f.size(); ++i)
-        if (f[i].living(f.now).size() != f.size()) return "somebody does not know who lives";
+        if (f[i].livePeers(f.now).size() != f.size()) return "somebody does not know who lives";
     return {};
 }
 
-TEST(NewsSearch, NoScheduleBreaksAnInvariant) {
+TEST(ScheduleSearch, NoScheduleBreaksAnInvariant) {
     // NEWS_SCHEDULES=10000 for a long search, NEWS_FIRST to begin elsewhere.
     const int count = fromEnvironment("NEWS_SCHEDULES", 100), first = fromEnvironment("NEWS_FIRST", 1);
     for (int seed = first; seed < first + count; ++seed)
-        EXPECT_EQ(play(static_cast<uint32_t>(seed)), "") << "seed " << seed;
+        EXPECT_EQ(runSchedule(static_cast<uint32_t>(seed)), "") << "seed " << seed;
 }
 
-int schedulesUntilCaught(int most, const std::function<void(Options&)>& change) {
+int schedulesUntilDetected(int most, const std::function<void(Options&)>& adjustOptions) {
     for (int seed = 1; seed <= most; ++seed)
-        if (!play(static_cast<uint32_t>(seed), change).empty()) return seed;
+        if (!runSchedule(static_cast<uint32_t>(seed), adjustOptions).empty()) return seed;
     return -1;
 }
 
-TEST(NewsSearch, ARumourThatNoDigestMendsIsCaught) {
-    const int at = schedulesUntilCaught(50, [](Options& o) { o.digests = false; });
+TEST(ScheduleSearch, DetectsLostRumoursWithoutDigests) {
+    const int at = schedulesUntilDetected(50, [](Options& o) { o.digestsEnabled = false; });
     std::printf("caught at %d\n", at);
     EXPECT_GT(at, 0);
 }
-TEST(NewsSearch, ACutThatNobodyProbesAcrossIsCaught) {
-    const int at = schedulesUntilCaught(100, [](Options& o) { o.probes = false; });
+TEST(ScheduleSearch, DetectsUnhealedPartitionWithoutProbes) {
+    const int at = schedulesUntilDetected(100, [](Options& o) { o.probesEnabled = false; });
     std::printf("caught at %d\n", at);
     EXPECT_GT(at, 0);
 }
--- a/system/gossip/model_test.cpp
+++ b/system/gossip/traffic_model_test.cpp
@@ -10,7 +10,7 @@
 namespace {
 
 // A configuration of so many routes and services, packed as the cores send it.
-size_t packedSize(size_t routes) {
+size_t packedConfigurationSize(size_t routes) {
     std::mt19937 random(1);
     std::string text = "{\"config_version\":7,\"route_table\":[", services;
     const auto word = [&] {
@@ -33,34 +33,34 @@
     return configuration::packed(text).size();
 }
 
-TEST(Model, MembersAndNews) {
+TEST(Model, TrafficAndDisseminationTime) {
     if (!std::getenv("GOSSIP_MODEL")) GTEST_SKIP() << "for measuring: GOSSIP_MODEL=1";
-    const size_t size = packedSize(1030);
+    const size_t size = packedConfigurationSize(1030);
     std::printf("a configuration of 1,030 routes: %zu bytes packed, of 17,000: %zu\n", size,
-                packedSize(17000));
+                packedConfigurationSize(17000));
     for (const size_t n : {9, 74, 460, 1000}) {
         for (const double loss : {0.0, 0.05, 0.2}) {
             Fleet f(n, loss, 1);
             f.run(n > 500 ? 30 : 20);
-            const size_t bytes = f.bytes, across = f.bytesAcross, datagrams = f.datagrams;
+            const size_t bytes = f.bytes, otherZone = f.crossZoneBytes, datagrams = f.datagrams;
             f.run(10);
             const double each = 10 * static_cast<double>(n);
             const double bytesS = static_cast<double>(f.bytes - bytes) / each,
-                         acrossS = static_cast<double>(f.bytesAcross - across) / each,
+                         acrossS = static_cast<double>(f.crossZoneBytes - otherZone) / each,
                          datagramsS = static_cast<double>(f.datagrams - datagrams) / each;
             // 2 Mbit/s out of each agent, shared by those that ask it, or what a stream gets through such
             // losses in 40 ms there and back (1,460 bytes x 1.22 / root of the loss a round trip).
             double perS = 2e6 / 8;
             if (loss > 0) perS = std::min(perS, 1460 * 1.22 / std::sqrt(loss) / 0.04);
-            const Span takes = Span::seconds(static_cast<double>(size) / perS);
+            const Span transferSpan = Span::seconds(static_cast<double>(size) / perS);
             std::vector<Instant> freeAt(n, f.now);
-            f.transfer = [&](size_t from) {
-                freeAt[from] = std::max(freeAt[from], f.now + Span::millis(40)) + takes;
+            f.transferTime = [&](size_t from) {
+                freeAt[from] = std::max(freeAt[from], f.now + Span::millis(40)) + transferSpan;
                 return freeAt[from] - f.now;
             };
             const size_t fetches = f.fetches;
-            f.know(3, {1, 1, 1, "core"});
-            const double all = f.until(120, [&] { return f.behind(1) == 0; });
+            f.updateDigest(3, {1, 1, 1, "core"});
+            const double all = f.runUntil(120, [&] { return f.countBehind(1) == 0; });
             std::printf(
                 "%4zu senders, loss %2.0f%%: at rest %5.0f bytes, %4.0f of them between zones, and %.2f "
                 "datagrams a sender a second; new "
