--- a/system/agent/main.cpp
+++ b/system/agent/main.cpp
@@ -3,17 +3,17 @@
 #include <cstdio>
 
 #include "system/agent/agent.hpp"
-#include "system/startup/start.hpp"
+#include "system/startup/startup.hpp"
 
 using namespace petrelpond;
 
 int main(int argc, char** argv) {
     int code = 0;
-    auto start = startup::start("petrel-agent", "keeps the proxy's link to the cores and to the other agents",
-                                argc, argv, code);
+    auto start = startup::initialize(
+        "petrel-agent", "keeps the proxy's link to the cores and to the other agents", argc, argv, code);
     if (!start) return code;
     network::Loop loop;
-    agent::Agent agent(loop, start->settings, start->chance, start->loopback);
+    agent::Agent agent(loop, start->settings, start->randomSeed, start->loopback);
     std::string error;
     if (!agent.open(error)) {
         std::fprintf(stderr, "petrel-agent: listen: %s\n", error.c_str());
--- a/system/consensus/copy_on_write.hpp
+++ b/system/consensus/copy_on_write_env.hpp
@@ -15,35 +15,35 @@
 namespace petrelpond::consensus {
 
 // For one database, which nobody else writes meanwhile; outlives it.
-class CopyOnWrite final : public leveldb::EnvWrapper {
+class CopyOnWriteEnv final : public leveldb::EnvWrapper {
   public:
-    CopyOnWrite();
-    ~CopyOnWrite() override;
+    CopyOnWriteEnv();
+    ~CopyOnWriteEnv() override;
 
     // From now on `contents` stands in the place of that file.
-    leveldb::Status replace(const std::string& name, const std::string& contents);
+    leveldb::Status replaceContents(const std::string& name, const std::string& contents);
 
     leveldb::Status NewSequentialFile(const std::string& name, leveldb::SequentialFile** file) override;
     leveldb::Status NewRandomAccessFile(const std::string& name, leveldb::RandomAccessFile** file) override;
     leveldb::Status NewWritableFile(const std::string& name, leveldb::WritableFile** file) override;
     leveldb::Status NewAppendableFile(const std::string& name, leveldb::WritableFile** file) override;
     bool FileExists(const std::string& name) override;
-    leveldb::Status GetChildren(const std::string& folder, std::vector<std::string>* names) override;
+    leveldb::Status GetChildren(const std::string& directory, std::vector<std::string>* names) override;
     leveldb::Status GetFileSize(const std::string& name, uint64_t* size) override;
     leveldb::Status RenameFile(const std::string& from, const std::string& to) override;
     leveldb::Status RemoveFile(const std::string& name) override;
-    leveldb::Status CreateDir(const std::string& folder) override;
-    leveldb::Status RemoveDir(const std::string& folder) override;
+    leveldb::Status CreateDir(const std::string& directory) override;
+    leveldb::Status RemoveDir(const std::string& directory) override;
     leveldb::Status LockFile(const std::string& name, leveldb::FileLock** lock) override;
     leveldb::Status UnlockFile(leveldb::FileLock* lock) override;
 
   private:
-    leveldb::Env& holderOf(const std::string& name);
+    leveldb::Env& envHolding(const std::string& name);
     bool isRemoved(const std::string& name);
 
-    std::unique_ptr<leveldb::Env> written_;
+    std::unique_ptr<leveldb::Env> overlay_;
     std::mutex mutex_;  // LevelDB removes files from a thread of its own
-    std::set<std::string> removed_;
+    std::set<std::string> removedNames_;
 };
 
 }  // namespace petrelpond::consensus
--- a/system/consensus/core.hpp
+++ b/system/consensus/core.hpp
@@ -20,7 +20,7 @@
 #include <vector>
 
 #include "petrelpond/time.hpp"
-#include "system/consensus/claims.hpp"
+#include "system/consensus/promised_ballots.hpp"
 
 namespace petrelpond::consensus {
 
@@ -48,7 +48,7 @@
 // What one disk holds; loaded at start, each part saved whole.
 struct Durable {
     Value value;
-    Claims claims;                    // the ballots promised
+    PromisedBallots claims;           // the ballots promised
     std::vector<NodeId> voters;       // sorted; empty: not agreed yet
     std::vector<NodeId> electors;     // sorted; who agrees on the voters: the seeds of the first start
     uint64_t votersBallot = 0;        // the highest ballot promised
@@ -133,7 +133,7 @@
     std::vector<std::string> joined;  // goes with voters
     std::vector<NodeId> nodes;  // whom the sender knows; in prepare..accepted offers, ip#birth of who comes
     std::vector<NodeId> electors;
-    Claims::Ballots claims;  // in recoverTell
+    PromisedBallots::BallotsByVersion claims;  // in recoverTell
     std::shared_ptr<const Value> value;
 };
 std::string encode(const Message&);
@@ -352,7 +352,7 @@
     void learnMarks(Instant now, const NodeId& from, const Message& m);
     void adopt(const std::shared_ptr<const Value>& v);
     Mark toldMark() const;
-    uint64_t claimOf(int64_t version) const { return mem_.claims.of(version); }
+    uint64_t claimOf(int64_t version) const { return mem_.claims.promisedFor(version); }
     int64_t heldVersion() const { return value_ ? value_->version : 0; }
     void promiseClaim(int64_t version, uint64_t ballot);
     bool decided(int64_t version) const;
--- a/system/consensus/durable_names.hpp
+++ b/system/consensus/directory_sync_env.hpp
@@ -18,7 +18,7 @@
 namespace petrelpond::consensus {
 
 // Makes the names in a folder certain. False with errno where that failed.
-bool syncFolder(const std::filesystem::path& folder);
+bool syncDirectory(const std::filesystem::path& directory);
 
 // Makes a folder with those above it, and all their names certain. Empty: done; else why not.
 //
@@ -26,12 +26,12 @@
 // stands in the one above. All of them up to the root, made now or not: a former life may have ended between
 // making a folder and syncing its name. Where a folder that was there already can't be synced it is the
 // host's, and its name is as well.
-std::string makeFolders(const std::filesystem::path& folder);
+std::string createDurableDirectories(const std::filesystem::path& directory);
 
 // For one database; outlives it.
-class DurableNames final : public leveldb::EnvWrapper {
+class DirectorySyncEnv final : public leveldb::EnvWrapper {
   public:
-    explicit DurableNames(std::filesystem::path folder);
+    explicit DirectorySyncEnv(std::filesystem::path directory);
 
     leveldb::Status NewWritableFile(const std::string& name, leveldb::WritableFile** file) override;
     leveldb::Status NewAppendableFile(const std::string& name, leveldb::WritableFile** file) override;
@@ -39,15 +39,15 @@
     leveldb::Status RemoveFile(const std::string& name) override;
 
     // Returns once all names made until now are certain; at once where nothing changed.
-    leveldb::Status syncNames();
+    leveldb::Status syncPendingChanges();
 
   private:
-    leveldb::Status wrapped(const leveldb::Status& made, leveldb::WritableFile** file);
-    void noteChange();
+    leveldb::Status wrapFile(const leveldb::Status& created, leveldb::WritableFile** file);
+    void markChanged();
 
-    const std::filesystem::path folder_;
+    const std::filesystem::path directory_;
     std::mutex mutex_;  // held through a sync: who comes second must not go on before it is over
-    bool changed_ = false;
+    bool hasUnsyncedChanges_ = false;
 };
 
 }  // namespace petrelpond::consensus
--- a/system/consensus/discard.cpp
+++ b/system/consensus/discard.cpp
@@ -10,14 +10,14 @@
 #include <cstdio>
 #include <cstring>
 
-#include "system/consensus/durable_names.hpp"
+#include "system/consensus/directory_sync_env.hpp"
 
 namespace petrelpond::consensus {
 namespace {
 
-const char* const discardMark = "DISCARDED";
+const char* const kDiscardMarkerName = "DISCARDED";
 
-bool makeSynced(const std::filesystem::path& file) {
+bool createSyncedFile(const std::filesystem::path& file) {
     const int descriptor = ::open(file.c_str(), O_WRONLY | O_CREAT | O_CLOEXEC, 0600);
     if (descriptor < 0) return false;
     const bool synced = ::fsync(descriptor) == 0;
@@ -27,28 +27,28 @@
 
 }  // namespace
 
-bool isBeingDiscarded(const std::filesystem::path& folder) {
+bool isDiscardInProgress(const std::filesystem::path& directory) {
     std::error_code error;
-    return std::filesystem::exists(folder / discardMark, error);
+    return std::filesystem::exists(directory / kDiscardMarkerName, error);
 }
 
-std::string discard(const std::filesystem::path& folder) {
-    const auto failed = [&](const char* what) {
-        return std::string(what) + " " + folder.string() + ": " + std::strerror(errno);
+std::string discardDatabase(const std::filesystem::path& directory) {
+    const auto failed = [&](const char* step) {
+        return std::string(step) + " " + directory.string() + ": " + std::strerror(errno);
     };
-    const std::filesystem::path mark = folder / discardMark;
+    const std::filesystem::path marker = directory / kDiscardMarkerName;
     // By a rename where it can be, which needs no room: else a full disk would stay full of what is of no
     // use.
-    const bool renamed = ::rename((folder / "CURRENT").c_str(), mark.c_str()) == 0;
-    if ((!renamed && !makeSynced(mark)) || !syncFolder(folder)) return failed("mark");
+    const bool renamed = ::rename((directory / "CURRENT").c_str(), marker.c_str()) == 0;
+    if ((!renamed && !createSyncedFile(marker)) || !syncDirectory(directory)) return failed("mark");
     std::error_code error;
-    for (const auto& entry : std::filesystem::directory_iterator(folder, error)) {
-        if (entry.path() != mark) std::filesystem::remove_all(entry.path(), error);
-        if (error) return "empty " + folder.string() + ": " + error.message();
+    for (const auto& entry : std::filesystem::directory_iterator(directory, error)) {
+        if (entry.path() != marker) std::filesystem::remove_all(entry.path(), error);
+        if (error) return "empty " + directory.string() + ": " + error.message();
     }
-    if (!syncFolder(folder)) return failed("empty");
-    std::filesystem::remove(mark, error);
-    if (error || !syncFolder(folder)) return failed("unmark");
+    if (!syncDirectory(directory)) return failed("empty");
+    std::filesystem::remove(marker, error);
+    if (error || !syncDirectory(directory)) return failed("unmark");
     return {};
 }
 
--- a/system/consensus/discard.hpp
+++ b/system/consensus/discard.hpp
@@ -7,10 +7,10 @@
 namespace petrelpond::consensus {
 
 // Whether a discard() of this folder was cut short: what still stands there is of no use.
-bool isBeingDiscarded(const std::filesystem::path& folder);
+bool isDiscardInProgress(const std::filesystem::path& directory);
 
 // Removes all files of the folder and leaves it empty. What was done is certain on return. Empty: done; else
 // why not.
-std::string discard(const std::filesystem::path& folder);
+std::string discardDatabase(const std::filesystem::path& directory);
 
 }  // namespace petrelpond::consensus
--- a/system/consensus/disk_age_test.cpp
+++ b/system/consensus/disk_rollback_test.cpp
@@ -8,43 +8,45 @@
 
 // A disk is put back to what it held before a hundred changes, as from a copy of its folder: nothing that was
 // acknowledged goes back, and the machine rebuilds as from a lost disk. Also where all lose power at once.
-std::string putADiskBack(Defect defect, bool power) {
+std::string rollBackDisk(Defect defect, bool powerLost) {
     sim::Plan plan{11, 3, 1, defect, false, 30, true};
     plan.spans = true;
     sim::World w(plan);
     w.loss_ = 0;
     std::optional<Durable> copy;
-    std::string wrong;
-    const auto cutOffOne = [&w](size_t i, bool on) {
+    std::string failure;
+    const auto isolate = [&w](size_t i, bool isolated) {
         for (size_t k = 0; k < 3; ++k) {
-            if (on && k != i) w.cut_.insert({k, i}), w.cut_.insert({i, k});
+            if (isolated && k != i) w.cut_.insert({k, i}), w.cut_.insert({i, k});
         }
-        if (!on) w.cut_.clear();
+        if (!isolated) w.cut_.clear();
     };
     w.at(sim::World::millis(6000), [&] { copy = w.nodes_[0].disk; });
     // One has missed the last of the changes when the disk of another goes back.
-    w.at(sim::World::millis(18000), [&] { cutOffOne(1, true); });
+    w.at(sim::World::millis(18000), [&] { isolate(1, true); });
     w.at(sim::World::millis(24000), [&] {
-        if (power) w.powerLoss();
+        if (powerLost) w.powerLoss();
         w.kill(0);
         w.nodes_[0].disk = copy;
         w.kill(2);
-        cutOffOne(1, false);
+        isolate(1, false);
         w.start(0, false);
         w.start(1, false);
         w.at(sim::World::millis(3000), [&] {
-            if (w.nodes_[0].disk->birth == copy->birth) wrong = "an old disk is taken for the newest";
+            if (w.nodes_[0].disk->birth == copy->birth) failure = "an old disk is taken for the newest";
             w.start(2, false);
         });
     });
-    const std::string broken = w.run();
-    return broken.empty() ? wrong : broken;
+    const std::string violation = w.run();
+    return violation.empty() ? failure : violation;
 }
-TEST(Core, ADiskThatIsPutBackCountsAsLost) {
-    EXPECT_EQ(putADiskBack(Defect::none, false), "");
-    EXPECT_EQ(putADiskBack(Defect::none, true), "");
+TEST(Core, RolledBackDiskCountsAsLost) {
+    EXPECT_EQ(rollBackDisk(Defect::none, false), "");
+    EXPECT_EQ(rollBackDisk(Defect::none, true), "");
+}
+TEST(Core, DetectsMemberThatTrustsARolledBackDisk) {
+    EXPECT_NE(rollBackDisk(Defect::trustsOldDisk, false), "");
 }
-TEST(Core, AMemberThatTrustsAnOldDiskIsCaught) { EXPECT_NE(putADiskBack(Defect::trustsOldDisk, false), ""); }
 
 }  // namespace
 }  // namespace petrelpond::consensus
--- a/system/consensus/durable_record.cpp
+++ b/system/consensus/durable_record.cpp
@@ -12,52 +12,53 @@
 
 // Checksum, then the content. Against a disk that hands back other bytes than it got; LevelDB checks its
 // blocks, this also catches an older block in the place of a newer.
-std::string framed(std::string_view content) {
-    const uint64_t sum = XXH3_64bits(content.data(), content.size());
-    std::string s(sizeof sum + content.size(), '\0');
-    std::memcpy(s.data(), &sum, sizeof sum);
-    std::memcpy(s.data() + sizeof sum, content.data(), content.size());
+std::string addChecksum(std::string_view content) {
+    const uint64_t checksum = XXH3_64bits(content.data(), content.size());
+    std::string s(sizeof checksum + content.size(), '\0');
+    std::memcpy(s.data(), &checksum, sizeof checksum);
+    std::memcpy(s.data() + sizeof checksum, content.data(), content.size());
     return s;
 }
 
-std::optional<std::string_view> unframed(std::string_view s) {
-    uint64_t sum = 0;
-    if (s.size() < sizeof sum) return {};
-    std::memcpy(&sum, s.data(), sizeof sum);
-    s.remove_prefix(sizeof sum);
-    if (XXH3_64bits(s.data(), s.size()) != sum) return {};
+std::optional<std::string_view> stripChecksum(std::string_view s) {
+    uint64_t checksum = 0;
+    if (s.size() < sizeof checksum) return {};
+    std::memcpy(&checksum, s.data(), sizeof checksum);
+    s.remove_prefix(sizeof checksum);
+    if (XXH3_64bits(s.data(), s.size()) != checksum) return {};
     return s;
 }
 
-constexpr size_t valueHead = sizeof(int64_t) + sizeof(uint64_t);
+constexpr size_t kValueHeaderBytes = sizeof(int64_t) + sizeof(uint64_t);
 
-constexpr uint32_t restFields = 21;
-constexpr uint32_t restFieldsBeforeBallots = 17;  // of disks written before versions were decided by ballots
+constexpr uint32_t kStateFields = 21;
+constexpr uint32_t kStateFieldsBeforeBallots =
+    17;  // of disks written before versions were decided by ballots
 
 }  // namespace
 
-std::string packValue(const Value& value) {
-    std::string content(valueHead, '\0');
+std::string packValueRecord(const Value& value) {
+    std::string content(kValueHeaderBytes, '\0');
     std::memcpy(content.data(), &value.version, sizeof value.version);
     std::memcpy(content.data() + sizeof value.version, &value.digest, sizeof value.digest);
     content += value.body;
-    return framed(content);
+    return addChecksum(content);
 }
 
-std::optional<Value> unpackValue(std::string_view record) {
-    const auto content = unframed(record);
-    if (!content || content->size() < valueHead) return {};
+std::optional<Value> unpackValueRecord(std::string_view record) {
+    const auto content = stripChecksum(record);
+    if (!content || content->size() < kValueHeaderBytes) return {};
     Value value;
     std::memcpy(&value.version, content->data(), sizeof value.version);
     std::memcpy(&value.digest, content->data() + sizeof value.version, sizeof value.digest);
-    value.body = content->substr(valueHead);
+    value.body = content->substr(kValueHeaderBytes);
     return value;
 }
 
-std::string packRest(const Durable& d) {
+std::string packStateRecord(const Durable& d) {
     msgpack::sbuffer buffer(512);
     msgpack::packer<msgpack::sbuffer> p(buffer);
-    p.pack_array(restFields);
+    p.pack_array(kStateFields);
     p.pack(d.value.version);
     p.pack(d.value.digest);
     p.pack(d.voters);
@@ -83,18 +84,18 @@
         p.pack(node);
         p.pack(std::pair(age.birth, age.saves));
     }
-    return framed({buffer.data(), buffer.size()});
+    return addChecksum({buffer.data(), buffer.size()});
 }
 
-std::optional<Durable> unpackRest(std::string_view record) {
-    const auto content = unframed(record);
+std::optional<Durable> unpackStateRecord(std::string_view record) {
+    const auto content = stripChecksum(record);
     if (!content) return {};
     try {
         const msgpack::object_handle handle = msgpack::unpack(content->data(), content->size());
         const msgpack::object& o = handle.get();
         if (o.type != msgpack::type::ARRAY) return {};
         const uint32_t size = o.via.array.size;
-        if (size != restFields && size != restFieldsBeforeBallots) return {};
+        if (size != kStateFields && size != kStateFieldsBeforeBallots) return {};
         const msgpack::object* f = o.via.array.ptr;
         Durable d;
         d.value.version = f[0].as<int64_t>();
@@ -114,9 +115,9 @@
         d.joined = f[14].as<std::vector<std::string>>();
         d.birth = f[15].as<uint64_t>();
         d.promisedTo = f[16].as<NodeId>();
-        if (size == restFieldsBeforeBallots) return d;
+        if (size == kStateFieldsBeforeBallots) return d;
         d.value.ballot = f[17].as<uint64_t>();
-        d.claims = Claims(f[18].as<Claims::Ballots>());
+        d.claims = PromisedBallots(f[18].as<PromisedBallots::BallotsByVersion>());
         d.saves = f[19].as<uint64_t>();
         for (const auto& [node, age] : f[20].as<std::map<NodeId, std::pair<uint64_t, uint64_t>>>())
             d.seen[node] = {age.first, age.second};
--- a/system/consensus/durable_record.hpp
+++ b/system/consensus/durable_record.hpp
@@ -11,13 +11,13 @@
 
 namespace petrelpond::consensus {
 
-std::string packValue(const Value&);
+std::string packValueRecord(const Value&);
 // Nothing where the checksum or the length is wrong. The ballot stands with the rest.
-std::optional<Value> unpackValue(std::string_view record);
+std::optional<Value> unpackValueRecord(std::string_view record);
 
 // All but the value's body.
-std::string packRest(const Durable&);
+std::string packStateRecord(const Durable&);
 // Nothing where the checksum is wrong, or the record is of no form that was ever written.
-std::optional<Durable> unpackRest(std::string_view record);
+std::optional<Durable> unpackStateRecord(std::string_view record);
 
 }  // namespace petrelpond::consensus
--- a/system/consensus/power_loss_test.cpp
+++ b/system/consensus/power_loss_test.cpp
@@ -7,7 +7,7 @@
 #include <cstdio>
 #include <fstream>
 
-#include "system/consensus/keeper.hpp"
+#include "system/consensus/state_store.hpp"
 #include "system/network/environment_for_test.hpp"
 #include "tests/power/recorded_disk.hpp"
 
@@ -22,11 +22,11 @@
 
 // What all the losses of power did that were tried at the moments of one recording.
 struct Tally {
-    size_t tried = 0, broken = 0;
+    size_t tested = 0, failed = 0;
     std::string first = {};  // of those that broke
 };
 
-std::string described(const DiskMoment& moment, const PowerLoss& loss) {
+std::string describe(const DiskMoment& moment, const PowerLoss& loss) {
     std::string text = "told " + std::to_string(moment.told) + "; not synced:";
     for (size_t i = 0; i < moment.uncertain.size(); ++i) {
         const NameChange& change = moment.uncertain[i];
@@ -41,7 +41,7 @@
     return whole && *whole ? (*whole)->saves : 0;
 }
 
-std::string described(const Found& found) {
+std::string describe(const Found& found) {
     const auto* problem = std::get_if<network::Problem>(&found);
     return problem ? problem->line() : std::to_string(savesOf(found));
 }
@@ -68,14 +68,14 @@
         return state;
     }
 
-    bool save(Keeper& keeper, const Durable& state) {
-        keeper.save({++token_, state});
+    bool save(StateStore& store, const Durable& state) {
+        store.save({++token_, state});
         while (true) {
             pollfd waits{wake_, POLLIN, 0};
             if (::poll(&waits, 1, 10000) != 1) return false;
             uint64_t count = 0;
             if (::read(wake_, &count, sizeof count) != sizeof count) return false;
-            for (const Keeper::Outcome& outcome : keeper.collect())
+            for (const StateStore::Outcome& outcome : store.takeOutcomes())
                 if (outcome.token == token_) return outcome.ok;
         }
     }
@@ -83,30 +83,31 @@
     // Lets power go at every recorded moment in several ways, and starts a core on what is left each time.
     // below: where the core's data folder is. good(moment, loss, found): whether it found what it must.
     template <typename Good>
-    Tally tryAll(RecordedDisk& recorded, Tally tally, const fs::path& below, const Good& good) {
+    Tally testAllLosses(RecordedDisk& recorded, Tally tally, const fs::path& subdirectory,
+                        const Good& isAcceptable) {
         const fs::path target = root_ / "after";
         for (const DiskMoment& moment : recorded.moments()) {
             for (const PowerLoss& loss : RecordedDisk::losses(moment, kLossesEach, random_)) {
                 recorded.leave(moment, loss, target);
-                const Found found = foundIn(target / below);
-                ++tally.tried;
-                if (good(moment, loss, found) || tally.broken++ > 0) continue;
-                tally.first = described(moment, loss) + " found " + described(found);
+                const Found found = foundIn(target / subdirectory);
+                ++tally.tested;
+                if (isAcceptable(moment, loss, found) || tally.failed++ > 0) continue;
+                tally.first = describe(moment, loss) + " found " + describe(found);
             }
         }
         return tally;
     }
 
-    Found foundIn(const fs::path& folder) const {
-        Keeper keeper(folder, wake_);
-        return keeper.takeFound();
+    Found foundIn(const fs::path& directory) const {
+        StateStore store(directory, wake_);
+        return store.takeLoaded();
     }
 
     // In the newest log, of several records: what was synced is not there any more, and what lies before it
     // still is. In a log of one record it would pass for a torn end.
-    static void damage(const fs::path& folder) {
+    static void damage(const fs::path& directory) {
         fs::path newest;
-        for (const auto& entry : fs::directory_iterator(folder))
+        for (const auto& entry : fs::directory_iterator(directory))
             if (entry.path().extension() == ".log") newest = std::max(newest, entry.path());
         std::fstream file(newest, std::ios::in | std::ios::out | std::ios::binary);
         file.seekp(100);
@@ -114,11 +115,11 @@
     }
 
     // One life of a core on this disk: it starts, and saves so often. Returns what others were told of.
-    void live(const fs::path& folder, uint64_t told, int saves) {
-        Keeper keeper(folder, wake_);
+    void runLife(const fs::path& directory, uint64_t told, int saves) {
+        StateStore store(directory, wake_);
         for (int i = 0; i < saves; ++i) {
             ++told;
-            ASSERT_TRUE(save(keeper, stateOf(told)));
+            ASSERT_TRUE(save(store, stateOf(told)));
             RecordedDisk::active()->told(told);
         }
     }
@@ -132,7 +133,7 @@
 // Against issue 68: LevelDB replaces its manifest at each open and renames, removes and makes files without
 // syncing the folder; power that was lost soon after left a CURRENT that named a removed manifest, or a
 // folder without the newest log.
-TEST_F(PowerLossTest, WhatWasToldIsFoundWhicheverNamesAreLost) {
+TEST_F(PowerLossTest, AnnouncedStateSurvivesLostNameChanges) {
     const uint32_t lives = numberFromEnvironment("POWER_LIVES", 6);
     uint64_t told = 0;
     Tally tally;
@@ -140,143 +141,144 @@
         const fs::path disk = root_ / ("disk-" + std::to_string(life));
         RecordedDisk recorded(disk);
         recorded.told(told);
-        live(disk, told, static_cast<int>(random_() % 16));
+        runLife(disk, told, static_cast<int>(random_() % 16));
         // The next life begins where one of these losses left the disk, drawn at random.
         const fs::path next = root_ / ("disk-" + std::to_string(life + 1));
         size_t candidates = 0;
         told = 0;
-        tally = tryAll(recorded, tally, "",
-                       [&](const DiskMoment& moment, const PowerLoss& loss, const Found& found) {
-                           const uint64_t saves = savesOf(found);
-                           if (saves > 0 && random_() % ++candidates == 0) {
-                               recorded.leave(moment, loss, next);
-                               told = saves;
-                           }
-                           return moment.told == 0 || saves >= moment.told;
-                       });
+        tally = testAllLosses(recorded, tally, "",
+                              [&](const DiskMoment& moment, const PowerLoss& loss, const Found& found) {
+                                  const uint64_t saves = savesOf(found);
+                                  if (saves > 0 && random_() % ++candidates == 0) {
+                                      recorded.leave(moment, loss, next);
+                                      told = saves;
+                                  }
+                                  return moment.told == 0 || saves >= moment.told;
+                              });
         fs::remove_all(disk);
     }
-    std::printf("%u lives, %zu losses of power, %zu took back what was told\n", lives, tally.tried,
-                tally.broken);
-    EXPECT_EQ(tally.broken, 0u) << tally.first;
+    std::printf("%u lives, %zu losses of power, %zu took back what was told\n", lives, tally.tested,
+                tally.failed);
+    EXPECT_EQ(tally.failed, 0u) << tally.first;
 }
 
 // Against a folder for the state that the first start makes: its own name is certain only once the folder
 // above it is synced, and that one's likewise.
-TEST_F(PowerLossTest, WhatWasToldIsFoundBelowFoldersThatWereMadeForIt) {
-    const fs::path disk = root_ / "disk", below = "machine/control-plane";
+TEST_F(PowerLossTest, AnnouncedStateSurvivesInNewlyCreatedDirectories) {
+    const fs::path disk = root_ / "disk", subdirectory = "machine/control-plane";
     RecordedDisk recorded(disk);
-    live(disk / below, 0, 3);
-    const Tally tally =
-        tryAll(recorded, {}, below, [](const DiskMoment& moment, const PowerLoss&, const Found& found) {
-            return moment.told == 0 || savesOf(found) >= moment.told;
-        });
-    std::printf("%zu losses of power, %zu took back what was told\n", tally.tried, tally.broken);
-    EXPECT_EQ(tally.broken, 0u) << tally.first;
+    runLife(disk / subdirectory, 0, 3);
+    const Tally tally = testAllLosses(recorded, {}, subdirectory,
+                                      [](const DiskMoment& moment, const PowerLoss&, const Found& found) {
+                                          return moment.told == 0 || savesOf(found) >= moment.told;
+                                      });
+    std::printf("%zu losses of power, %zu took back what was told\n", tally.tested, tally.failed);
+    EXPECT_EQ(tally.failed, 0u) << tally.first;
 }
 
 // Against a folder that counts as lost and is emptied: a part of its files is an older database, with
 // promises that were given up.
-TEST_F(PowerLossTest, AFolderThatIsBegunAnewNeverComesBack) {
+TEST_F(PowerLossTest, DiscardedDatabaseNeverReturns) {
     const fs::path disk = root_ / "disk";
     uint64_t told = 0;
     {
-        Keeper keeper(disk, wake_);
-        while (told < 12) ASSERT_TRUE(save(keeper, stateOf(++told, 40000)));  // a table and a log
+        StateStore store(disk, wake_);
+        while (told < 12) ASSERT_TRUE(save(store, stateOf(++told, 40000)));  // a table and a log
     }
-    damage(disk / Keeper::kFolder);
+    damage(disk / StateStore::kDirectoryName);
     const uint64_t formerBirth = birth_++;
     RecordedDisk recorded(disk);
     {
-        Keeper keeper(disk, wake_);
-        ASSERT_TRUE(std::holds_alternative<network::Problem>(keeper.takeFound()));
+        StateStore store(disk, wake_);
+        ASSERT_TRUE(std::holds_alternative<network::Problem>(store.takeLoaded()));
         for (uint64_t saves = 1; saves <= 3; ++saves) {
-            ASSERT_TRUE(save(keeper, stateOf(saves)));
+            ASSERT_TRUE(save(store, stateOf(saves)));
             recorded.told(saves);
         }
     }
     const Tally tally =
-        tryAll(recorded, {}, "", [&](const DiskMoment& moment, const PowerLoss&, const Found& found) {
+        testAllLosses(recorded, {}, "", [&](const DiskMoment& moment, const PowerLoss&, const Found& found) {
             const auto* whole = std::get_if<std::optional<Durable>>(&found);
             const bool former = whole && *whole && (*whole)->birth == formerBirth;
             return !former && (moment.told == 0 || savesOf(found) >= moment.told);
         });
-    std::printf("%zu losses of power, %zu brought the former state back\n", tally.tried, tally.broken);
-    EXPECT_EQ(tally.broken, 0u) << tally.first;
+    std::printf("%zu losses of power, %zu brought the former state back\n", tally.tested, tally.failed);
+    EXPECT_EQ(tally.failed, 0u) << tally.first;
 }
 
 // Against a disk that is full of a database of no use: the mark needs no new file.
-TEST_F(PowerLossTest, AFolderIsEmptiedOnAFullDiskToo) {
+TEST_F(PowerLossTest, DiscardsDatabaseOnAFullDisk) {
     const fs::path disk = root_ / "disk";
     {
-        Keeper keeper(disk, wake_);
-        for (uint64_t saves = 1; saves <= 12; ++saves) ASSERT_TRUE(save(keeper, stateOf(saves, 40000)));
+        StateStore store(disk, wake_);
+        for (uint64_t saves = 1; saves <= 12; ++saves) ASSERT_TRUE(save(store, stateOf(saves, 40000)));
     }
-    damage(disk / Keeper::kFolder);
+    damage(disk / StateStore::kDirectoryName);
     RecordedDisk recorded(disk);
-    Keeper keeper(disk, wake_);
-    ASSERT_TRUE(std::holds_alternative<network::Problem>(keeper.takeFound()));
+    StateStore store(disk, wake_);
+    ASSERT_TRUE(std::holds_alternative<network::Problem>(store.takeLoaded()));
     recorded.refuseNewFiles(true);  // not before: a disk that is full at the start is waited for
-    EXPECT_FALSE(save(keeper, stateOf(1)));
+    EXPECT_FALSE(save(store, stateOf(1)));
     uint64_t left = 0;
-    for (const auto& entry : fs::directory_iterator(disk / Keeper::kFolder)) left += entry.file_size();
+    for (const auto& entry : fs::directory_iterator(disk / StateStore::kDirectoryName))
+        left += entry.file_size();
     EXPECT_EQ(left, 0u);
     recorded.refuseNewFiles(false);
-    EXPECT_TRUE(save(keeper, stateOf(2)));
+    EXPECT_TRUE(save(store, stateOf(2)));
 }
 
 // Against a state that a process was killed in the midst of writing, and that the next life finds in the
 // host's memory alone: what is found is told, and the next loss of power takes it back.
-TEST_F(PowerLossTest, WhatIsFoundAtTheStartIsCertain) {
+TEST_F(PowerLossTest, LoadedStateIsDurable) {
     const fs::path disk = root_ / "disk";
     RecordedDisk recorded(disk);
     {
-        Keeper keeper(disk, wake_);
-        ASSERT_TRUE(save(keeper, stateOf(1, 1000)));
+        StateStore store(disk, wake_);
+        ASSERT_TRUE(save(store, stateOf(1, 1000)));
         recorded.refuseSyncs(true);
-        EXPECT_FALSE(save(keeper, stateOf(2, 1000)));
+        EXPECT_FALSE(save(store, stateOf(2, 1000)));
         recorded.refuseSyncs(false);
     }
     ASSERT_EQ(savesOf(foundIn(disk)), 2u);
     recorded.told(2);
     const Tally tally =
-        tryAll(recorded, {}, "", [](const DiskMoment& moment, const PowerLoss&, const Found& found) {
+        testAllLosses(recorded, {}, "", [](const DiskMoment& moment, const PowerLoss&, const Found& found) {
             return moment.told == 0 || savesOf(found) >= moment.told;
         });
-    EXPECT_EQ(tally.broken, 0u) << tally.first;
+    EXPECT_EQ(tally.failed, 0u) << tally.first;
 }
 
 // Against a disk that stumbles at the start beside one that is really lost.
-TEST_F(PowerLossTest, AReadErrorAtTheStartIsNoLostDisk) {
+TEST_F(PowerLossTest, TransientReadErrorIsNotALostDisk) {
     const fs::path disk = root_ / "disk";
     {
-        Keeper keeper(disk, wake_);
-        ASSERT_TRUE(save(keeper, stateOf(1, 1000)));
+        StateStore store(disk, wake_);
+        ASSERT_TRUE(save(store, stateOf(1, 1000)));
     }
     RecordedDisk recorded(disk);
     recorded.refuseReads(true);
     int pauses = 0;
-    Keeper keeper(disk, wake_, [&](const std::string& why) {
+    StateStore store(disk, wake_, [&](const std::string& why) {
         EXPECT_NE(why, "");
         if (++pauses == 3) recorded.refuseReads(false);
     });
-    EXPECT_EQ(savesOf(keeper.takeFound()), 1u);
+    EXPECT_EQ(savesOf(store.takeLoaded()), 1u);
     EXPECT_EQ(pauses, 3);
-    EXPECT_TRUE(save(keeper, stateOf(2)));
+    EXPECT_TRUE(save(store, stateOf(2)));
 }
 
-TEST_F(PowerLossTest, ADiskThatNeverGivesItsBytesCountsAsLost) {
+TEST_F(PowerLossTest, PersistentReadErrorCountsAsLost) {
     const fs::path disk = root_ / "disk";
     {
-        Keeper keeper(disk, wake_);
-        ASSERT_TRUE(save(keeper, stateOf(1, 1000)));
+        StateStore store(disk, wake_);
+        ASSERT_TRUE(save(store, stateOf(1, 1000)));
     }
     RecordedDisk recorded(disk);
     recorded.refuseReads(true);
     int pauses = 0;
-    Keeper keeper(disk, wake_, [&](const std::string&) { ++pauses; });
-    EXPECT_TRUE(std::holds_alternative<network::Problem>(keeper.takeFound()));
-    EXPECT_EQ(pauses, Keeper::kReadTries - 1);
+    StateStore store(disk, wake_, [&](const std::string&) { ++pauses; });
+    EXPECT_TRUE(std::holds_alternative<network::Problem>(store.takeLoaded()));
+    EXPECT_EQ(pauses, StateStore::kMaxReadAttempts - 1);
 }
 
 }  // namespace
--- a/system/consensus/claims.hpp
+++ b/system/consensus/promised_ballots.hpp
@@ -13,32 +13,32 @@
 
 namespace petrelpond::consensus {
 
-class Claims {
+class PromisedBallots {
   public:
     // Versions are above 0. What stands under this one was promised for all that are not listed.
-    static constexpr int64_t kOthers = 0;
-    static constexpr size_t kMostListed = 64;  // with kOthers
+    static constexpr int64_t kUnlisted = 0;
+    static constexpr size_t kMaxListed = 64;  // with kOthers
 
-    using Ballots = std::map<int64_t, uint64_t>;
+    using BallotsByVersion = std::map<int64_t, uint64_t>;
 
-    Claims() = default;
-    explicit Claims(Ballots listed) : listed_(std::move(listed)) {}
+    PromisedBallots() = default;
+    explicit PromisedBallots(BallotsByVersion listed) : listed_(std::move(listed)) {}
 
-    uint64_t of(int64_t version) const;  // the highest ballot promised for it; 0: none
+    uint64_t promisedFor(int64_t version) const;  // the highest ballot promised for it; 0: none
     // `held`: the version whose text this disk holds, which stays listed.
-    void promise(int64_t version, uint64_t ballot, int64_t held);
+    void promise(int64_t version, uint64_t ballot, int64_t heldVersion);
     void forgetBelow(int64_t version);
     // Of each version the higher of both promises.
-    void takeHigher(const Claims& other, int64_t held);
+    void mergeHigher(const PromisedBallots& other, int64_t heldVersion);
 
     bool isListed(int64_t version) const { return listed_.count(version) > 0; }
-    const Ballots& listed() const { return listed_; }  // as messages and disks carry it
+    const BallotsByVersion& listed() const { return listed_; }  // as messages and disks carry it
 
   private:
-    uint64_t others() const;
-    void bound(int64_t held);
+    uint64_t promisedForUnlisted() const;
+    void evictExcess(int64_t heldVersion);
 
-    Ballots listed_;
+    BallotsByVersion listed_;
 };
 
 }  // namespace petrelpond::consensus
--- a/system/consensus/claims_test.cpp
+++ b/system/consensus/promised_ballots_test.cpp
@@ -32,11 +32,11 @@
     return world.run();
 }
 
-TEST(Claims, ManyVersionsWithoutAMajorityDoNotEndTheRegister) {
+TEST(PromisedBallots, ManyVersionsWithoutAMajorityDoNotBlockTheRegister) {
     for (uint32_t seed = 1; seed <= 10; ++seed) EXPECT_EQ(manyVersionsWithoutAMajority(seed), "") << seed;
 }
 
-TEST(Claims, AnAcceptorThatRefusesOnceItsListIsFullIsCaught) {
+TEST(PromisedBallots, DetectsAcceptorThatRefusesWhenItsListIsFull) {
     std::string broken;
     for (uint32_t seed = 1; broken.empty() && seed <= 10; ++seed)
         broken = manyVersionsWithoutAMajority(seed, Defect::refusesWhenFull);
@@ -44,35 +44,36 @@
 }
 
 // Whatever leaves the list, and however often lists are joined: no version's promise ever falls.
-TEST(Claims, NoPromiseFallsWhateverIsListed) {
+TEST(PromisedBallots, PromisesNeverDecrease) {
     std::mt19937 random(1);
-    for (int play = 0; play < 200; ++play) {
-        Claims mine, other;
+    for (int run = 0; run < 200; ++run) {
+        PromisedBallots mine, other;
         std::map<int64_t, uint64_t> promised;  // the least that `mine` has to remember
         int64_t held = 0;
         for (int i = 0; i < 400; ++i) {
             const int64_t version = held + 1 + static_cast<int64_t>(random() % 200);
-            const int what = static_cast<int>(random() % 100);
-            if (what < 70) {
-                const uint64_t ballot = mine.of(version) + 1 + random() % 50;
+            const int action = static_cast<int>(random() % 100);
+            if (action < 70) {
+                const uint64_t ballot = mine.promisedFor(version) + 1 + random() % 50;
                 mine.promise(version, ballot, held);
                 promised[version] = ballot;
-            } else if (what < 90) {
-                other.promise(version, other.of(version) + 1 + random() % 50, 0);
-            } else if (what < 96) {
-                mine.takeHigher(other, held);
+            } else if (action < 90) {
+                other.promise(version, other.promisedFor(version) + 1 + random() % 50, 0);
+            } else if (action < 96) {
+                mine.mergeHigher(other, held);
                 for (int64_t each = held + 1; each <= held + 250; ++each)
-                    promised[each] = std::max(promised[each], other.of(each));
+                    promised[each] = std::max(promised[each], other.promisedFor(each));
             } else {  // a text is accepted under the ballot that was promised
                 held = version;
-                mine.promise(version, mine.of(version), held);
-                promised[version] = mine.of(version);
+                mine.promise(version, mine.promisedFor(version), held);
+                promised[version] = mine.promisedFor(version);
                 mine.forgetBelow(version);
                 promised.erase(promised.begin(), promised.lower_bound(version));
             }
-            ASSERT_LE(mine.listed().size(), Claims::kMostListed);
+            ASSERT_LE(mine.listed().size(), PromisedBallots::kMaxListed);
             ASSERT_TRUE(held == 0 || mine.isListed(held));
-            for (const auto& [each, ballot] : promised) ASSERT_GE(mine.of(each), ballot) << play << " " << i;
+            for (const auto& [each, ballot] : promised)
+                ASSERT_GE(mine.promisedFor(each), ballot) << run << " " << i;
         }
     }
 }
--- a/system/consensus/recovery.cpp
+++ b/system/consensus/recovery.cpp
@@ -133,7 +133,7 @@
             mem_.votersOffer = t.nodes;
         }
         highestTerm_ = std::max(highestTerm_, t.term);
-        mem_.claims.takeHigher(Claims(t.claims), heldVersion());
+        mem_.claims.mergeHigher(PromisedBallots(t.claims), heldVersion());
     }
     highestBallot_ = std::max(highestBallot_, mem_.votersBallot);
     mem_.elects = true;
--- a/system/consensus/register.cpp
+++ b/system/consensus/register.cpp
@@ -120,7 +120,7 @@
         promised == m.ballot && asked != claimNumbers_.end() && asked->second == std::pair(from, m.number);
     const bool overtaken = heldVersion() > m.version;
     const bool full = o_.defect == Defect::refusesWhenFull && !mem_.claims.isListed(m.version) &&
-                      mem_.claims.listed().size() >= Claims::kMostListed;
+                      mem_.claims.listed().size() >= PromisedBallots::kMaxListed;
     back.version = m.version;
     if (!overtaken && !full && !decided(m.version) && (m.ballot > promised || again)) {
         if (!again) {
--- /dev/null
+++ b/system/consensus/state_store.cpp
@@ -0,0 +1,171 @@
+#include "system/consensus/state_store.hpp"
+
+#include <leveldb/db.h>
+#include <leveldb/write_batch.h>
+
+#include <cerrno>
+#include <chrono>
+#include <cstring>
+
+#include "system/consensus/directory_sync_env.hpp"
+#include "system/consensus/discard.hpp"
+#include "system/consensus/durable_record.hpp"
+#include "system/consensus/no_log.hpp"
+#include "system/consensus/stored_state.hpp"
+#include "system/consensus/torn_log.hpp"
+
+namespace petrelpond::consensus {
+StateStore::StateStore(std::filesystem::path dataDirectory, int wakeFd, const RetryWait& waitBeforeRetry)
+    : dataDirectory_(std::move(dataDirectory)), directory_(dataDirectory_ / kDirectoryName), wakeFd_(wakeFd),
+      loaded_(std::optional<Durable>{}), noLog_(std::make_unique<NoLog>()),
+      env_(std::make_unique<DirectorySyncEnv>(directory_)) {
+    loaded_ = load(waitBeforeRetry);
+    thread_ = std::thread([this] { runWriter(); });
+}
+
+void StateStore::waitReadRetryDelay(const std::string&) { std::this_thread::sleep_for(kReadRetryDelay); }
+
+StateStore::~StateStore() {
+    {
+        const std::lock_guard lock(mutex_);
+        stopping_ = true;
+    }
+    pendingOrStopping_.notify_one();
+    thread_.join();
+}
+
+std::string StateStore::open() {
+    if (mustDiscard_) {
+        if (std::string reason = discardDatabase(directory_); !reason.empty()) return reason;
+        mustDiscard_ = false;
+        isStored_ = false;
+    }
+    std::error_code error;
+    if (!std::filesystem::exists(directory_, error)) {
+        if (std::string reason = createDurableDirectories(dataDirectory_); !reason.empty()) return reason;
+    }
+    leveldb::Options options;
+    options.create_if_missing = true;
+    options.paranoid_checks = true;
+    options.write_buffer_size = 256 << 10;
+    options.max_open_files = 32;
+    options.compression = leveldb::kNoCompression;
+    options.info_log = noLog_.get();
+    options.env = env_.get();
+    leveldb::DB* db = nullptr;
+    leveldb::Status status = leveldb::DB::Open(options, directory_.string(), &db);
+    // What was left out as the state was read, see readKeptState().
+    if (status.IsCorruption() && truncateTornLogs(directory_) > 0)
+        status = leveldb::DB::Open(options, directory_.string(), &db);
+    if (!status.ok()) {
+        // Every Save is whole, so a database damaged while we run may be begun anew. Should we die in
+        // between, the mark of discard() says so, and the disk counts as lost, which is true.
+        if (status.IsCorruption()) mustDiscard_ = true;
+        return "open " + directory_.string() + ": " + status.ToString();
+    }
+    db_.reset(db);
+    // Against a new folder that a power loss removes again although what lies in it was synced. Each time:
+    // the life before may have died between making the folder and this.
+    if (!syncDirectory(dataDirectory_)) {
+        db_.reset();
+        return "sync " + dataDirectory_.string() + ": " + std::strerror(errno);
+    }
+    return {};
+}
+
+// Against a disk that takes no writes as we start, where what is read can't be made certain: it is neither
+// lost nor damaged, so we wait, and count as away. It harms where the disk never takes a sync again: this
+// machine then waits until it is given another.
+void StateStore::waitUntilSynced(const RetryWait& waitBeforeRetry) {
+    for (std::string reason = syncDatabaseFiles(directory_); !reason.empty() && areFilesReadable(directory_);
+         reason = syncDatabaseFiles(directory_))
+        waitBeforeRetry(reason);
+}
+
+network::Result<std::optional<Durable>> StateStore::load(const RetryWait& waitBeforeRetry) {
+    waitUntilSynced(waitBeforeRetry);
+    StoredState state = readStoredState(directory_);
+    for (int attempt = 1; attempt < kMaxReadAttempts && std::holds_alternative<Unreadable>(state);
+         ++attempt) {
+        waitBeforeRetry(std::get<Unreadable>(state).reason);
+        state = readStoredState(directory_);
+    }
+    if (auto* found = std::get_if<std::optional<Durable>>(&state)) {
+        if (*found) {
+            storedValue_ = {(*found)->value.version, 0, (*found)->value.digest};
+            storedState_ = packStateRecord(**found);
+            isStored_ = true;
+        }
+        return std::move(*found);
+    }
+    mustDiscard_ = true;
+    const auto* damage = std::get_if<Damaged>(&state);
+    return network::Problem{"read the kept state", directory_.string(),
+                            damage ? damage->reason : "can't be read: " + std::get<Unreadable>(state).reason};
+}
+
+std::string StateStore::write(const Save& save) {
+    if (!db_) {
+        std::string reason = open();
+        if (!reason.empty()) return reason;
+    }
+    // The ballot stands with the rest: the same text under another ballot is not written again.
+    const Mark mark{save.state.value.version, 0, save.state.value.digest};
+    std::string stateRecord = packStateRecord(save.state);
+    leveldb::WriteBatch batch;  // both parts or neither
+    const bool isNewValue = mark.version > 0 && (!isStored_ || mark != storedValue_);
+    if (isNewValue) batch.Put(kValueKey, packValueRecord(save.state.value));
+    if (!isStored_ || stateRecord != storedState_) {
+        batch.Put(kStateKey, stateRecord);
+    } else if (!isNewValue) {
+        return {};  // it lies there already
+    }
+    leveldb::WriteOptions options;
+    options.sync = true;
+    const leveldb::Status status = db_->Write(options, &batch);
+    if (!status.ok()) {
+        // After a failed write LevelDB takes no more; and what of it lies on disk is not known.
+        db_.reset();
+        isStored_ = false;
+        return "write " + directory_.string() + ": " + status.ToString();
+    }
+    storedValue_ = mark;
+    storedState_ = std::move(stateRecord);
+    isStored_ = true;
+    return {};
+}
+
+void StateStore::save(Save save) {
+    {
+        const std::lock_guard lock(mutex_);
+        pendingSave_ = std::move(save);
+    }
+    pendingOrStopping_.notify_one();
+}
+
+std::vector<StateStore::Outcome> StateStore::takeOutcomes() {
+    std::vector<Outcome> outcomes;
+    const std::lock_guard lock(mutex_);
+    outcomes.swap(outcomes_);
+    return outcomes;
+}
+
+void StateStore::runWriter() {
+    std::unique_lock lock(mutex_);
+    while (true) {
+        pendingOrStopping_.wait(lock, [this] { return pendingSave_ || stopping_; });
+        if (!pendingSave_) return;
+        const Save save = std::move(*pendingSave_);
+        pendingSave_.reset();
+        lock.unlock();
+        std::string reason = write(save);
+        lock.lock();
+        const bool ok = reason.empty();
+        outcomes_.push_back({save.token, ok, std::move(reason)});
+        const uint64_t one = 1;
+        // A full counter wakes the caller just as well.
+        [[maybe_unused]] const auto written = ::write(wakeFd_, &one, sizeof one);
+    }
+}
+
+}  // namespace petrelpond::consensus
--- a/system/consensus/keeper.hpp
+++ b/system/consensus/state_store.hpp
@@ -23,69 +23,70 @@
 
 namespace petrelpond::consensus {
 
-class DurableNames;
+class DirectorySyncEnv;
 
-class Keeper {
+class StateStore {
   public:
     struct Outcome {
         uint64_t token = 0;  // this Save and all before it
         bool ok = false;     // on disk and synced; else hand it to Core::saveFailed
-        std::string why;     // if not ok
+        std::string error;   // if not ok
     };
 
     // The folder below dataDir. It keeps the name that it had in the first version: under another one the
     // disks that are in service would look empty, and each of their machines would count as one that lost its
     // disk.
-    static constexpr const char* kFolder = "muir";
+    static constexpr const char* kDirectoryName = "muir";
 
     // So often a disk is asked again for bytes that it does not give, at pauses of kReadAgain, before it
     // counts as lost. Harm: if too few, a disk that stumbles is one loss more; if too many, this core is away
     // for so long where its disk is gone, though others could rebuild it.
-    static constexpr int kReadTries = 50;
-    static constexpr auto kReadAgain = std::chrono::milliseconds(200);
+    static constexpr int kMaxReadAttempts = 50;
+    static constexpr auto kReadRetryDelay = std::chrono::milliseconds(200);
 
     // Waits for kReadAgain.
-    static void pauseBeforeReading(const std::string& why);
+    static void waitReadRetryDelay(const std::string& reason);
 
     // Reads what dataDir/kFolder holds, without writing there. `wake` is an eventfd of the caller, which
     // outlives the Keeper; it is written when collect() has something. `pause` waits a moment, where the disk
     // does not give what it holds yet; it is told why.
-    using Pause = std::function<void(const std::string& why)>;
-    Keeper(std::filesystem::path dataDir, int wake, const Pause& pause = pauseBeforeReading);
-    ~Keeper();  // writes what is still pending
-    Keeper(const Keeper&) = delete;
-    Keeper& operator=(const Keeper&) = delete;
+    using RetryWait = std::function<void(const std::string& reason)>;
+    StateStore(std::filesystem::path dataDirectory, int wakeFd,
+               const RetryWait& waitBeforeRetry = waitReadRetryDelay);
+    ~StateStore();  // writes what is still pending
+    StateStore(const StateStore&) = delete;
+    StateStore& operator=(const StateStore&) = delete;
 
     // What was found at the start, once: nullopt for an empty disk, a Problem for a damaged one. Either way
     // the disk has forgotten what it promised, and the Core gets nullopt; the first save() begins the folder
     // anew.
-    network::Result<std::optional<Durable>> takeFound() { return std::move(found_); }
+    network::Result<std::optional<Durable>> takeLoaded() { return std::move(loaded_); }
 
-    void save(Save save);            // from any thread; only the newest pending one is written
-    std::vector<Outcome> collect();  // from any thread; in the order of tokens
+    void save(Save save);                 // from any thread; only the newest pending one is written
+    std::vector<Outcome> takeOutcomes();  // from any thread; in the order of tokens
 
   private:
-    network::Result<std::optional<Durable>> load(const Pause& pause);
-    void awaitCertain(const Pause& pause);
+    network::Result<std::optional<Durable>> load(const RetryWait& waitBeforeRetry);
+    void waitUntilSynced(const RetryWait& waitBeforeRetry);
     std::string open();              // empty: done; else why not
     std::string write(const Save&);  // empty: done; else why not
-    void work();
+    void runWriter();
 
-    const std::filesystem::path parent_, folder_;
-    const int wake_;
-    network::Result<std::optional<Durable>> found_;
+    const std::filesystem::path dataDirectory_, directory_;
+    const int wakeFd_;
+    network::Result<std::optional<Durable>> loaded_;
     std::unique_ptr<leveldb::Logger> noLog_;
-    std::unique_ptr<DurableNames> names_;
+    std::unique_ptr<DirectorySyncEnv> env_;
     std::unique_ptr<leveldb::DB> db_;
-    bool anew_ = false;     // what is there is of no use: remove it before the next write
-    bool written_ = false;  // the two below lie on disk
-    std::string rest_;
-    Mark value_;
+    bool mustDiscard_ = false;  // what is there is of no use: remove it before the next write
+    bool isStored_ = false;     // the two below lie on disk
+    std::string storedState_;
+    Mark storedValue_;
 
     std::mutex mutex_;  // of what follows
-    std::condition_variable pendingOrStop_;
-    std::optional<Save> pending_;
-    bool stop_ = false;
+    std::condition_variable pendingOrStopping_;
+    std::optional<Save> pendingSave_;
+    bool stopping_ = false;
     std::vector<Outcome> outcomes_;
     std::thread thread_;  // last: it uses all the others
 };
--- a/system/consensus/keeper_test.cpp
+++ b/system/consensus/state_store_test.cpp
@@ -1,4 +1,4 @@
-#include "system/consensus/keeper.hpp"
+#include "system/consensus/state_store.hpp"
 
 #include <gtest/gtest.h>
 #include <poll.h>
@@ -16,26 +16,26 @@
 namespace petrelpond::consensus {
 namespace {
 
-class KeeperTest : public ::testing::Test {
+class StateStoreTest : public ::testing::Test {
   protected:
-    KeeperTest() {
+    StateStoreTest() {
         std::string name = (std::filesystem::temp_directory_path() / "consensus-XXXXXX").string();
         dir_ = ::mkdtemp(name.data());
         wake_ = ::eventfd(0, EFD_CLOEXEC);
     }
-    ~KeeperTest() override {
+    ~StateStoreTest() override {
         ::close(wake_);
         std::filesystem::permissions(dir_, std::filesystem::perms::owner_all);
         std::filesystem::remove_all(dir_);
     }
     // Waits for the outcome of this token.
-    Keeper::Outcome outcomeOf(Keeper& keeper, uint64_t token) {
+    StateStore::Outcome outcomeOf(StateStore& store, uint64_t token) {
         while (true) {
             pollfd p{wake_, POLLIN, 0};
             if (::poll(&p, 1, 10000) != 1) return {0, false, "nothing within 10 s"};
             uint64_t count = 0;
             if (::read(wake_, &count, sizeof count) != sizeof count) return {0, false, "eventfd"};
-            for (const Keeper::Outcome& o : keeper.collect()) {
+            for (const StateStore::Outcome& o : store.takeOutcomes()) {
                 if (o.token >= token) return o;
             }
         }
@@ -56,8 +56,8 @@
         return d;
     }
     std::optional<Durable> reopened() {
-        Keeper keeper(dir_, wake_);
-        auto found = keeper.takeFound();
+        StateStore store(dir_, wake_);
+        auto found = store.takeLoaded();
         if (auto* p = std::get_if<network::Problem>(&found)) {
             ADD_FAILURE() << p->line();
             return {};
@@ -68,15 +68,15 @@
     int wake_ = -1;
 };
 
-TEST_F(KeeperTest, EverythingComesBack) {
+TEST_F(StateStoreTest, RestoresEveryField) {
     const Durable d = sample();
     {
-        Keeper keeper(dir_, wake_);
-        auto found = keeper.takeFound();
+        StateStore store(dir_, wake_);
+        auto found = store.takeLoaded();
         ASSERT_TRUE(std::holds_alternative<std::optional<Durable>>(found));
         EXPECT_FALSE(std::get<0>(found));
-        keeper.save({1, d});
-        EXPECT_TRUE(outcomeOf(keeper, 1).ok);
+        store.save({1, d});
+        EXPECT_TRUE(outcomeOf(store, 1).ok);
     }
     const auto f = reopened();
     ASSERT_TRUE(f);
@@ -95,20 +95,20 @@
     EXPECT_FALSE(f->elects);
 }
 
-TEST_F(KeeperTest, AnOldValueIsNeverFoundBesideANewTerm) {
+TEST_F(StateStoreTest, NeverPairsAnOldValueWithANewTerm) {
     Durable d = sample(1000);
     uint64_t token = 0;
     {
-        Keeper keeper(dir_, wake_);
+        StateStore store(dir_, wake_);
         for (int i = 0; i < 200; ++i) {
             ++d.term;
             if (i % 3 == 0) {
                 ++d.value.version;
                 d.value.body = std::string(50000, static_cast<char>('a' + i % 20));
             }
-            keeper.save({++token, d});
+            store.save({++token, d});
         }
-        EXPECT_TRUE(outcomeOf(keeper, token).ok);
+        EXPECT_TRUE(outcomeOf(store, token).ok);
     }
     const auto f = reopened();
     ASSERT_TRUE(f);
@@ -117,15 +117,15 @@
     EXPECT_EQ(f->value.body, d.value.body);
 }
 
-TEST_F(KeeperTest, WhatDidNotChangeIsNotWrittenAgain) {
+TEST_F(StateStoreTest, SkipsUnchangedRecords) {
     Durable d = sample();
-    Keeper keeper(dir_, wake_);
-    keeper.save({1, d});
-    ASSERT_TRUE(outcomeOf(keeper, 1).ok);
+    StateStore store(dir_, wake_);
+    store.save({1, d});
+    ASSERT_TRUE(outcomeOf(store, 1).ok);
     // LevelDB numbers its files and begins new ones after each 256 kB.
     const auto files = [&] {
         int highest = 0;
-        for (const auto& e : std::filesystem::directory_iterator(dir_ / Keeper::kFolder)) {
+        for (const auto& e : std::filesystem::directory_iterator(dir_ / StateStore::kDirectoryName)) {
             highest = std::max(highest, std::atoi(e.path().stem().c_str()));
         }
         return highest;
@@ -133,21 +133,21 @@
     const auto before = files();
     for (uint64_t token = 2; token < 22; ++token) {
         ++d.term;
-        keeper.save({token, d});
-        ASSERT_TRUE(outcomeOf(keeper, token).ok);
+        store.save({token, d});
+        ASSERT_TRUE(outcomeOf(store, token).ok);
     }
     EXPECT_LT(files(), before + 6);
 }
 
-TEST_F(KeeperTest, DamageIsToldAndTheNextSaveBeginsAnew) {
+TEST_F(StateStoreTest, ReportsDamageAndNextSaveStartsFresh) {
     const Durable d = sample();
     {
-        Keeper keeper(dir_, wake_);
-        keeper.save({1, d});
-        ASSERT_TRUE(outcomeOf(keeper, 1).ok);
+        StateStore store(dir_, wake_);
+        store.save({1, d});
+        ASSERT_TRUE(outcomeOf(store, 1).ok);
     }
     int damaged = 0;
-    for (const auto& e : std::filesystem::directory_iterator(dir_ / Keeper::kFolder)) {
+    for (const auto& e : std::filesystem::directory_iterator(dir_ / StateStore::kDirectoryName)) {
         const auto ext = e.path().extension();
         if ((ext != ".log" && ext != ".ldb") || e.file_size() < 1000) continue;
         std::fstream f(e.path(), std::ios::in | std::ios::out | std::ios::binary);
@@ -157,41 +157,41 @@
     }
     ASSERT_GT(damaged, 0);
     {
-        Keeper keeper(dir_, wake_);
-        const auto found = keeper.takeFound();
+        StateStore store(dir_, wake_);
+        const auto found = store.takeLoaded();
         ASSERT_TRUE(std::holds_alternative<network::Problem>(found));
-        keeper.save({1, d});
-        EXPECT_TRUE(outcomeOf(keeper, 1).ok);
+        store.save({1, d});
+        EXPECT_TRUE(outcomeOf(store, 1).ok);
     }
     ASSERT_TRUE(reopened());
 }
 
-TEST_F(KeeperTest, AFailedSaveIsToldAndALaterOneSucceeds) {
+TEST_F(StateStoreTest, ReportsFailedSaveAndLaterSaveSucceeds) {
     // A file where the folder should be: fails for the superuser too.
     std::ofstream(dir_ / "file") << "no folder";
-    Keeper keeper(dir_ / "file", wake_);
+    StateStore store(dir_ / "file", wake_);
     const Durable d = sample(100);
-    keeper.save({1, d});
-    const Keeper::Outcome failed = outcomeOf(keeper, 1);
+    store.save({1, d});
+    const StateStore::Outcome failed = outcomeOf(store, 1);
     EXPECT_FALSE(failed.ok);
-    EXPECT_NE(failed.why, "");
+    EXPECT_NE(failed.error, "");
     std::filesystem::remove(dir_ / "file");
-    keeper.save({2, d});
-    EXPECT_TRUE(outcomeOf(keeper, 2).ok);
+    store.save({2, d});
+    EXPECT_TRUE(outcomeOf(store, 2).ok);
 }
 
 // Three saves in one log; the bytes between two places of it are lost. Places: 0 to 3 as each save ends.
-class TornTest : public KeeperTest {
+class TornLogTest : public StateStoreTest {
   protected:
     network::Result<std::optional<Durable>> after(size_t body, int save, double from, double to) {
         Durable d = sample(1000);
         std::vector<uintmax_t> ends{0};
         {
-            Keeper keeper(dir_, wake_);
+            StateStore store(dir_, wake_);
             for (uint64_t token = 1; token <= 3; ++token, ++d.term) {
                 if (token > 1 && body > 0) ++d.value.version, d.value.body = std::string(body, 'y');
-                keeper.save({token, d});
-                EXPECT_TRUE(outcomeOf(keeper, token).ok);
+                store.save({token, d});
+                EXPECT_TRUE(outcomeOf(store, token).ok);
                 ends.push_back(std::filesystem::file_size(log()));
             }
         }
@@ -202,18 +202,18 @@
         const std::string nothing(static_cast<size_t>((to - from) * size), '\0');
         f.write(nothing.data(), static_cast<std::streamsize>(nothing.size()));
         f.close();
-        Keeper keeper(dir_, wake_);
-        return keeper.takeFound();
+        StateStore store(dir_, wake_);
+        return store.takeLoaded();
     }
     std::filesystem::path log() const {
-        for (const auto& e : std::filesystem::directory_iterator(dir_ / Keeper::kFolder))
+        for (const auto& e : std::filesystem::directory_iterator(dir_ / StateStore::kDirectoryName))
             if (e.path().extension() == ".log") return e.path();
         return {};
     }
 };
 
 // Against the incident torn-taken-for-lost: three disks of one core, torn at the same loss of power.
-TEST_F(TornTest, TheStateBeforeATornEndCounts) {
+TEST_F(TornLogTest, RestoresStateBeforeTornEnd) {
     for (const size_t body : {0, 40000, 90000}) {
         for (const auto& [from, to] : {std::pair(0.0, 0.4), {0.02, 1.0}, {0.5, 0.6}, {0.9, 1.0}}) {
             const auto found = after(body, 3, from, to);
@@ -222,59 +222,59 @@
             ASSERT_TRUE(std::get<0>(found));
             EXPECT_EQ(std::get<0>(found)->term, 8u);  // as the second save had it
             EXPECT_EQ(std::get<0>(found)->value.body.size(), body > 0 ? body : 1000);
-            std::filesystem::remove_all(dir_ / Keeper::kFolder);
+            std::filesystem::remove_all(dir_ / StateStore::kDirectoryName);
         }
     }
 }
 
 // What is followed by what was written later had been synced: its disk forgot something that was told.
-TEST_F(TornTest, DamageBeforeTheEndIsStillDamage) {
+TEST_F(TornLogTest, ReportsDamageBeforeTheEnd) {
     for (const size_t body : {0, 40000, 90000}) {
         EXPECT_TRUE(std::holds_alternative<network::Problem>(after(body, 2, 0.5, 0.6))) << body;
-        std::filesystem::remove_all(dir_ / Keeper::kFolder);
+        std::filesystem::remove_all(dir_ / StateStore::kDirectoryName);
     }
 }
 
 // Issue 71: such a core was away until its disk took writes again, though it could tell what it holds.
-TEST_F(KeeperTest, ADiskThatTakesNoWritesAtTheStartTellsWhatItHolds) {
+TEST_F(StateStoreTest, LoadsStateFromAnUnwritableDisk) {
     const Durable d = sample(1000);
     {
-        Keeper keeper(dir_, wake_);
-        keeper.save({1, d});
-        ASSERT_TRUE(outcomeOf(keeper, 1).ok);
+        StateStore store(dir_, wake_);
+        store.save({1, d});
+        ASSERT_TRUE(outcomeOf(store, 1).ok);
     }
     // A folder in the place of LevelDB's lock: an error of the same kind as a full disk's, for the
     // superuser too.
-    std::filesystem::remove(dir_ / Keeper::kFolder / "LOCK");
-    std::filesystem::create_directory(dir_ / Keeper::kFolder / "LOCK");
+    std::filesystem::remove(dir_ / StateStore::kDirectoryName / "LOCK");
+    std::filesystem::create_directory(dir_ / StateStore::kDirectoryName / "LOCK");
     int pauses = 0;
-    Keeper keeper(dir_, wake_, [&](const std::string&) { ++pauses; });
-    const auto found = keeper.takeFound();
+    StateStore store(dir_, wake_, [&](const std::string&) { ++pauses; });
+    const auto found = store.takeLoaded();
     EXPECT_EQ(pauses, 0);
     ASSERT_TRUE(std::holds_alternative<std::optional<Durable>>(found));
     ASSERT_TRUE(std::get<0>(found));
     EXPECT_EQ(std::get<0>(found)->term, d.term);
-    keeper.save({2, d});
-    EXPECT_FALSE(outcomeOf(keeper, 2).ok);
-    std::filesystem::remove(dir_ / Keeper::kFolder / "LOCK");
-    keeper.save({3, d});
-    EXPECT_TRUE(outcomeOf(keeper, 3).ok);
+    store.save({2, d});
+    EXPECT_FALSE(outcomeOf(store, 2).ok);
+    std::filesystem::remove(dir_ / StateStore::kDirectoryName / "LOCK");
+    store.save({3, d});
+    EXPECT_TRUE(outcomeOf(store, 3).ok);
 }
 
-TEST_F(KeeperTest, TheFolderIsNotWrittenAsItIsRead) {
+TEST_F(StateStoreTest, LoadingWritesNothing) {
     Durable d = sample(40000);
     uint64_t token = 0;
     {
-        Keeper keeper(dir_, wake_);
+        StateStore store(dir_, wake_);
         for (; token < 12; ++d.term) {  // a table and a log
             ++d.value.version;
-            keeper.save({++token, d});
-            ASSERT_TRUE(outcomeOf(keeper, token).ok);
+            store.save({++token, d});
+            ASSERT_TRUE(outcomeOf(store, token).ok);
         }
     }
     const auto contents = [&] {
         std::map<std::string, std::string> all;
-        for (const auto& entry : std::filesystem::directory_iterator(dir_ / Keeper::kFolder)) {
+        for (const auto& entry : std::filesystem::directory_iterator(dir_ / StateStore::kDirectoryName)) {
             std::ifstream in(entry.path(), std::ios::binary);
             all[entry.path().filename()] = {std::istreambuf_iterator<char>(in), {}};
         }
@@ -292,27 +292,27 @@
         // Of the last record the beginning is lost, and its end is there.
         std::string& log = before[newest];
         log.replace(log.size() - 30000, 20000, 20000, '\0');
-        std::ofstream(dir_ / Keeper::kFolder / newest, std::ios::binary) << log;
+        std::ofstream(dir_ / StateStore::kDirectoryName / newest, std::ios::binary) << log;
     }
 }
 
 // The folder holds the present state and what is not compacted yet, not the history. KEEPER_SAVES and
 // KEEPER_BYTES play larger ones.
-TEST_F(KeeperTest, TheFolderIsBoundedByTheStateNotByItsHistory) {
+TEST_F(StateStoreTest, DirectorySizeIsBoundedByState) {
     const size_t saves = numberFromEnvironment("KEEPER_SAVES", 200),
                  bytes = numberFromEnvironment("KEEPER_BYTES", 300000);
     uintmax_t most = 0;
     {
-        Keeper keeper(dir_, wake_);
+        StateStore store(dir_, wake_);
         Durable d = sample(bytes);
         for (size_t i = 1; i <= saves; ++i) {
             d.value.version = static_cast<int64_t>(i);
             for (size_t at = 0; at < bytes; at += 64) d.value.body[at] = static_cast<char>(i + at);
-            keeper.save({i, d});
-            ASSERT_TRUE(outcomeOf(keeper, i).ok);
+            store.save({i, d});
+            ASSERT_TRUE(outcomeOf(store, i).ok);
             uintmax_t size = 0;
             std::error_code gone;  // LevelDB removes files meanwhile
-            for (const auto& e : std::filesystem::directory_iterator(dir_ / Keeper::kFolder)) {
+            for (const auto& e : std::filesystem::directory_iterator(dir_ / StateStore::kDirectoryName)) {
                 const uintmax_t one = e.file_size(gone);
                 if (!gone) size += one;
             }
@@ -321,8 +321,8 @@
     }
     std::printf("%zu saves of %zu bytes: the folder held %ju bytes at most\n", saves, bytes, most);
     EXPECT_LT(most, 12 * bytes + (4u << 20));
-    Keeper again(dir_, wake_);
-    const auto found = again.takeFound();
+    StateStore again(dir_, wake_);
+    const auto found = again.takeLoaded();
     ASSERT_TRUE(std::holds_alternative<std::optional<Durable>>(found));
     EXPECT_EQ(std::get<std::optional<Durable>>(found)->value.version, static_cast<int64_t>(saves));
 }
--- a/system/consensus/kept_state.hpp
+++ b/system/consensus/stored_state.hpp
@@ -14,21 +14,21 @@
 
 // The records of the database, which the Keeper writes.
 inline const char* const kValueKey = "value";  // the long part, rarely changed
-inline const char* const kRestKey = "rest";    // all others, and the mark of the value that belongs to them
+inline const char* const kStateKey = "rest";   // all others, and the mark of the value that belongs to them
 
 struct Unreadable {  // the disk did not give all bytes: nothing is known of them
-    std::string why;
+    std::string reason;
 };
 struct Damaged {  // all bytes were read, and make no whole state
-    std::string why;
+    std::string reason;
 };
 // No Durable: no state was ever told from this folder, or it was given up.
-using KeptState = std::variant<std::optional<Durable>, Unreadable, Damaged>;
+using StoredState = std::variant<std::optional<Durable>, Unreadable, Damaged>;
 
-KeptState readKeptState(const std::filesystem::path& folder);
+StoredState readStoredState(const std::filesystem::path& directory);
 
 // Against a state that is read from the host's memory as a process was killed in the midst of a write, is
 // told, and is gone with the next loss of power: syncs what stands in the folder. Empty: done; else why not.
-std::string makeCertain(const std::filesystem::path& folder);
+std::string syncDatabaseFiles(const std::filesystem::path& directory);
 
 }  // namespace petrelpond::consensus
--- a/system/consensus/torn.hpp
+++ b/system/consensus/torn_log.hpp
@@ -10,19 +10,19 @@
 
 // Where the last whole record ends, if all that can't be read lies behind it and nothing that can; -1 where a
 // record follows that can be read, or nothing is wrong.
-int64_t tornAt(std::string_view log);
+int64_t findTornEnd(std::string_view log);
 
-struct TornFile {
+struct TornLog {
     std::filesystem::path file;
-    std::string whole;  // its bytes before the torn end
+    std::string intactBytes;  // its bytes before the torn end
 };
 // The logs of this database that have a torn end.
-std::vector<TornFile> tornFiles(const std::filesystem::path& folder);
+std::vector<TornLog> findTornLogs(const std::filesystem::path& directory);
 
 // Cuts the torn ends off the logs of this database; how many.
-int cutTornEnds(const std::filesystem::path& folder);
+int truncateTornLogs(const std::filesystem::path& directory);
 
 // Whether every byte of the folder's files can be read.
-bool readable(const std::filesystem::path& folder);
+bool areFilesReadable(const std::filesystem::path& directory);
 
 }  // namespace petrelpond::consensus
--- a/system/control_plane/control.cpp
+++ b/system/control_plane/control.cpp
@@ -99,12 +99,12 @@
         return error = "listen_addresses: control expected for a role that serves control_plane", false;
     if (!settings_.dataDir) return error = "data_dir: a folder on a disk expected", false;
     keeperFd_ = eventfd(0, EFD_NONBLOCK | EFD_CLOEXEC);
-    keeper_ = std::make_unique<consensus::Keeper>(
+    keeper_ = std::make_unique<consensus::StateStore>(
         *settings_.dataDir, keeperFd_, [told = false](const std::string& why) mutable {
             if (!std::exchange(told, true)) spdlog::warn("state: {}: trying until it can be read", why);
-            consensus::Keeper::pauseBeforeReading(why);
+            consensus::StateStore::waitReadRetryDelay(why);
         });
-    auto taken = keeper_->takeFound();
+    auto taken = keeper_->takeLoaded();
     if (auto* problem = std::get_if<network::Problem>(&taken))
         spdlog::error("{}; this machine's part of the state is taken for lost", problem->line());
     std::optional<consensus::Durable> found;
@@ -277,13 +277,13 @@
 void Control::woke(uint32_t) {
     uint64_t count = 0;
     (void)!read(keeperFd_, &count, sizeof count);
-    for (const auto& result : keeper_->collect()) {
+    for (const auto& result : keeper_->takeOutcomes()) {
         if (result.ok) {
             saveFailedLast_ = false;
             core_->saved(loop_.now(), result.token);
         } else {
             ++saveFailures_, saveFailedLast_ = true;
-            spdlog::error("state: {}", result.why);
+            spdlog::error("state: {}", result.error);
             core_->saveFailed(loop_.now(), result.token);
         }
     }
--- a/system/control_plane/control.hpp
+++ b/system/control_plane/control.hpp
@@ -16,7 +16,7 @@
 #include "system/configuration/held_text.hpp"
 #include "system/configuration/settings.hpp"
 #include "system/consensus/core.hpp"
-#include "system/consensus/keeper.hpp"
+#include "system/consensus/state_store.hpp"
 #include "system/control_plane/backlog.hpp"
 #include "system/control_plane/scaler_host.hpp"
 #include "system/network/http_server.hpp"
@@ -115,7 +115,7 @@
     configuration::Settings settings_;
     network::HttpLimits limits_;
     int keeperFd_ = -1;
-    std::unique_ptr<consensus::Keeper> keeper_;
+    std::unique_ptr<consensus::StateStore> keeper_;
     std::unique_ptr<consensus::Core> core_;
     std::unique_ptr<ScalerHost> scalerHost_;
     std::unique_ptr<network::Listener> control_, inner_;
--- a/system/control_plane/main.cpp
+++ b/system/control_plane/main.cpp
@@ -5,14 +5,14 @@
 #include <string_view>
 
 #include "system/control_plane/control.hpp"
-#include "system/startup/start.hpp"
+#include "system/startup/startup.hpp"
 
 using namespace petrelpond;
 
 int main(int argc, char** argv) {
     int code = 0;
-    auto start = startup::start("petrel-control-plane", "keeps the configuration and plans instances", argc,
-                                argv, code);
+    auto start = startup::initialize("petrel-control-plane", "keeps the configuration and plans instances",
+                                     argc, argv, code);
     if (!start) return code;
     network::Loop loop;
     consensus::Defect defect = consensus::Defect::none;
@@ -23,7 +23,7 @@
     if (said == "no-write-back") defect = consensus::Defect::noWriteBack;
     if (said == "forgets-promise") defect = consensus::Defect::forgetsPromise;
 #endif
-    control_plane::Control control(loop, start->settings, start->chance, defect);
+    control_plane::Control control(loop, start->settings, start->randomSeed, defect);
     std::string error;
     if (!control.open(error)) {
         std::fprintf(stderr, "petrel-control-plane: open: %s\n", error.c_str());
--- a/system/gossip/gossip_node.cpp
+++ b/system/gossip/gossip_node.cpp
@@ -207,8 +207,7 @@
 }
 
 bool GossipNode::isNeighbour(uint32_t entry) const {
-    return std::any_of(view_.begin(), view_.end(),
-                       [entry](const Neighbour& s) { return s.entry == entry; });
+    return std::any_of(view_.begin(), view_.end(), [entry](const Neighbour& s) { return s.entry == entry; });
 }
 
 // Takes an entry into the view: where there is room, else in place of one that was just sent away (Cyclon's
@@ -309,8 +308,7 @@
     if (byHeartbeatAge_.size() > most) {
         const size_t young = most - most / 4;
         std::nth_element(byHeartbeatAge_.begin(),
-                         byHeartbeatAge_.begin() + static_cast<std::ptrdiff_t>(young),
-                         byHeartbeatAge_.end());
+                         byHeartbeatAge_.begin() + static_cast<std::ptrdiff_t>(young), byHeartbeatAge_.end());
         for (size_t i = young; i < most; ++i)
             std::swap(byHeartbeatAge_[i], byHeartbeatAge_[i + randomBelow(byHeartbeatAge_.size() - i)]);
         byHeartbeatAge_.resize(most);
--- a/system/proxy/main.cpp
+++ b/system/proxy/main.cpp
@@ -3,17 +3,17 @@
 #include <cstdio>
 
 #include "system/proxy/proxy.hpp"
-#include "system/startup/start.hpp"
+#include "system/startup/startup.hpp"
 
 using namespace petrelpond;
 
 int main(int argc, char** argv) {
     int code = 0;
     auto start =
-        startup::start("petrel-proxy", "carries requests from clients to instances", argc, argv, code);
+        startup::initialize("petrel-proxy", "carries requests from clients to instances", argc, argv, code);
     if (!start) return code;
     network::Loop loop;
-    proxy::Proxy proxy(loop, start->settings, start->chance, start->loopback);
+    proxy::Proxy proxy(loop, start->settings, start->randomSeed, start->loopback);
     std::string error;
     if (!proxy.open(error)) {
         std::fprintf(stderr, "petrel-proxy: listen: %s\n", error.c_str());
--- a/system/startup/start.hpp
+++ b/system/startup/startup.hpp
@@ -11,16 +11,17 @@
 
 namespace petrelpond::startup {
 
-struct Start {
+struct StartupContext {
     configuration::Settings settings;
     std::string settingsPath;
     std::string loopback = "127.0.0.1";  // where proxy and agent of one machine talk
-    uint32_t chance = 1;                 // seeds every generator of the process
+    uint32_t randomSeed = 1;             // seeds every generator of the process
 };
 
 // Reads the words of the command line and the settings. Where the program is to end at once (a mistake,
 // --help,
 // --check) `code` is its exit code and nothing is returned. Mistakes are told in one line on standard error.
-std::optional<Start> start(const char* program, const char* job, int argc, char** argv, int& code);
+std::optional<StartupContext> initialize(const char* program, const char* description, int argc, char** argv,
+                                         int& exitCode);
 
 }  // namespace petrelpond::startup
