--- a/system/consensus/core.hpp
+++ b/system/consensus/core.hpp
@@ -20,7 +20,7 @@
 #include <vector>
 
 #include "petrelpond/time.hpp"
-#include "system/consensus/claims.hpp"
+#include "system/consensus/promised_ballots.hpp"
 
 namespace petrelpond::consensus {
 
@@ -48,7 +48,7 @@
 // What one disk holds; loaded at start, each part saved whole.
 struct DurableState {
     Value value;
-    Claims claims;                      // the ballots promised
+    PromisedBallots claims;             // the ballots promised
     std::vector<NodeId> voters;         // sorted; empty: not agreed yet
     std::vector<NodeId> electors;       // sorted; who agrees on the voters: the seeds of the first start
     uint64_t votersBallot = 0;          // the highest ballot promised
@@ -134,7 +134,7 @@
     std::vector<std::string> joinedDisks;  // goes with voters
     std::vector<NodeId> nodes;  // whom the sender knows; in prepare..accepted offers, ip#birth of who comes
     std::vector<NodeId> electors;
-    Claims::Ballots claims;  // in recoverTell
+    PromisedBallots::BallotsByVersion claims;  // in recoverTell
     std::shared_ptr<const Value> value;
 };
 std::string encode(const Message&);
@@ -356,7 +356,7 @@
     void learnHeaders(Instant now, const NodeId& from, const Message& m);
     void adoptIfNewer(const std::shared_ptr<const Value>& v);
     ValueHeader syncedHeader() const;
-    uint64_t promisedBallot(int64_t version) const { return state_.claims.of(version); }
+    uint64_t promisedBallot(int64_t version) const { return state_.claims.promisedFor(version); }
     int64_t heldVersion() const { return value_ ? value_->version : 0; }
     void promiseClaim(int64_t version, uint64_t ballot);
     bool isDecided(int64_t version) const;
--- a/system/consensus/recovery.cpp
+++ b/system/consensus/recovery.cpp
@@ -140,7 +140,7 @@
             state_.votersAcceptedOffer = t.nodes;
         }
         highestTerm_ = std::max(highestTerm_, t.term);
-        state_.claims.takeHigher(Claims(t.claims), heldVersion());
+        state_.claims.mergeHigher(PromisedBallots(t.claims), heldVersion());
     }
     highestBallot_ = std::max(highestBallot_, state_.votersBallot);
     state_.mayElect = true;
--- a/system/consensus/register.cpp
+++ b/system/consensus/register.cpp
@@ -121,7 +121,7 @@
     const bool overtaken = heldVersion() > m.version;
     const bool full = options_.defect == Defect::refusesClaimsWhenFull &&
                       !state_.claims.isListed(m.version) &&
-                      state_.claims.listed().size() >= Claims::kMostListed;
+                      state_.claims.listed().size() >= PromisedBallots::kMaxListed;
     back.version = m.version;
     if (!overtaken && !full && !isDecided(m.version) && (m.ballot > promised || again)) {
         if (!again) {
