--- a/system/agent/agent.cpp
+++ b/system/agent/agent.cpp
@@ -13,54 +13,55 @@
 
 namespace {
 
-const Span kBeat = Span::millis(1000);
-const Span kCoreSilence = Span::millis(2200);  // without a word from a core for so long its link is made anew
+const Span kHeartbeatInterval = Span::millis(1000);
+const Span kCoreSilenceTimeout =
+    Span::millis(2200);  // without a word from a core for so long its link is made anew
 // The holder sends a heartbeat each 250 ms; one may be late by the hiccup of a small machine.
-const Span kHolderSilence = Span::millis(500);
-const Span kAskAgain = Span::millis(600);
+const Span kHolderSilenceTimeout = Span::millis(500);
+const Span kRequestRetryInterval = Span::millis(600);
 // Of a core whose process starts anew: short, as one that won the duty without us would give our slots away.
-const Span kTryAgain = Span::millis(200);
-const Span kConnectAgain = Span::millis(240);  // several round trips between regions
+const Span kMaxConnectPause = Span::millis(200);
+const Span kConnectTimeout = Span::millis(240);  // several round trips between regions
 
 // Rises with each start of this machine's agent. A time of day that was set back makes our word look old to
 // others until they have forgotten us; nothing but the count of senders suffers.
-uint64_t lifeNow() {
+uint64_t currentLife() {
     timespec t;
     clock_gettime(CLOCK_REALTIME, &t);
     return static_cast<uint64_t>(t.tv_sec) * 1000 + static_cast<uint64_t>(t.tv_nsec) / 1000000;
 }
 
-gossip::Options viewOptions(const configuration::Settings& s, uint64_t life, uint32_t chance) {
+gossip::Options viewOptions(const configuration::Settings& s, uint64_t life, uint32_t randomSeed) {
     gossip::Options o;
     o.self.name = s.nodeName, o.self.ip = s.ip, o.self.zone = s.zone, o.self.life = life;
-    o.chance = chance;
+    o.chance = randomSeed;
     return o;
 }
 
 }  // namespace
 
-Agent::Agent(network::Loop& loop, const configuration::Settings& settings, uint32_t chance,
+Agent::Agent(network::Loop& loop, const configuration::Settings& settings, uint32_t randomSeed,
              std::string loopback)
-    : loop_(loop), settings_(settings), loopbackIp_(std::move(loopback)), life_(lifeNow()),
-      views_(loop.now(), viewOptions(settings, life_, chance)), asking_(chance + 1) {}
+    : loop_(loop), settings_(settings), loopbackIp_(std::move(loopback)), life_(currentLife()),
+      views_(loop.now(), viewOptions(settings, life_, randomSeed)), requestPolicy_(randomSeed + 1) {}
 
 Agent::~Agent() = default;
 
 bool Agent::open(std::string& error) {
     auto own = network::Address::parse(settings_.ip, static_cast<uint16_t>(settings_.portFirst + 1));
     auto loopback = network::Address::parse(loopbackIp_, static_cast<uint16_t>(settings_.portFirst + 2));
-    auto guest = [this](int fd, Span silence) {
+    auto adoptLink = [this](int fd, Span silence) {
         uint64_t tag = nextTag_++;
-        Guest& g = guests_[tag];
+        OtherLink& g = otherLinks_[tag];
         g.link = Link::adopt(loop_, *this, fd, silence);
         g.link->tag = tag;
     };
-    own_ = network::Listener::open(
-        loop_, *own, [guest](int fd, network::Address) { guest(fd, Span::seconds(3)); }, error);
-    if (!own_) return error = own->text() + ": " + error, false;
-    loopback_ = network::Listener::open(
-        loop_, *loopback, [guest](int fd, network::Address) { guest(fd, Span()); }, error);
-    if (!loopback_) return error = loopback->text() + ": " + error, false;
+    ownListener_ = network::Listener::open(
+        loop_, *own, [adoptLink](int fd, network::Address) { adoptLink(fd, Span::seconds(3)); }, error);
+    if (!ownListener_) return error = own->text() + ": " + error, false;
+    loopbackListener_ = network::Listener::open(
+        loop_, *loopback, [adoptLink](int fd, network::Address) { adoptLink(fd, Span()); }, error);
+    if (!loopbackListener_) return error = loopback->text() + ": " + error, false;
     datagrams_ = network::Datagrams::open(
         loop_, *own,
         [this](network::Address from, std::string_view bytes) {
@@ -72,39 +73,39 @@
         },
         error);
     if (!datagrams_) return error = own->text() + ": " + error, false;
-    newSettings(settings_);
+    applySettings(settings_);
     tick();
     return true;
 }
 
-void Agent::newSettings(const configuration::Settings& settings) {
+void Agent::applySettings(const configuration::Settings& settings) {
     settings_.seeds = settings.seeds;
-    for (const auto& seed : settings_.seeds) meetCore(seed.ip);
+    for (const auto& seed : settings_.seeds) addCore(seed.ip);
 }
 
-void Agent::meetCore(const std::string& ip) {
+void Agent::addCore(const std::string& ip) {
     if (ip.empty() || cores_.count(ip) != 0) return;
-    if (cores_.size() >= kMostCores) {
-        std::map<std::string, CoreSeen> all;
-        for (const auto& [known, core] : cores_) all[known] = seen(core);
-        const std::string longest = silentLongest(all);
+    if (cores_.size() >= kMaxCores) {
+        std::map<std::string, CoreContact> all;
+        for (const auto& [known, core] : cores_) all[known] = contactOf(core);
+        const std::string longest = findLongestSilentCore(all);
         if (longest.empty()) return;
-        forgetCore(longest);
+        removeCore(longest);
     }
     cores_[ip].ip = ip;
-    cores_[ip].seenAt = loop_.now();
+    cores_[ip].lastSeenAt = loop_.now();
     connectCores();
 }
 
-CoreSeen Agent::seen(const CoreLink& core) const {
+CoreContact Agent::contactOf(const CoreLink& core) const {
     const auto& seeds = settings_.seeds;
     const bool seed =
         std::any_of(seeds.begin(), seeds.end(), [&](const auto& each) { return each.ip == core.ip; });
     const bool linked = core.link && core.link->isUp();
-    return {seed || core.ip == holder_, linked, core.seenAt};
+    return {seed || core.ip == holder_, linked, core.lastSeenAt};
 }
 
-void Agent::forgetCore(const std::string& ip) {
+void Agent::removeCore(const std::string& ip) {
     const auto core = cores_.find(ip);
     if (core == cores_.end()) return;
     if (core->second.link) {
@@ -114,18 +115,18 @@
     cores_.erase(core);
 }
 
-void Agent::forgetSilentCores() {
+void Agent::removeSilentCores() {
     std::vector<std::string> silent;
     for (const auto& [ip, core] : cores_)
-        if (mayForget(seen(core), loop_.now())) silent.push_back(ip);
-    for (const std::string& ip : silent) forgetCore(ip);
+        if (canForgetCore(contactOf(core), loop_.now())) silent.push_back(ip);
+    for (const std::string& ip : silent) removeCore(ip);
 }
 
 void Agent::connectCores() {
     for (auto& [ip, core] : cores_) {
-        if (core.link || loop_.now() - core.triedAt < core.pause) continue;
-        core.triedAt = core.heardAt = loop_.now();
-        core.pause = std::min(core.pause * 2, kTryAgain);
+        if (core.link || loop_.now() - core.connectTriedAt < core.connectPause) continue;
+        core.connectTriedAt = core.lastHeardAt = loop_.now();
+        core.connectPause = std::min(core.connectPause * 2, kMaxConnectPause);
         auto address = network::Address::parse(ip, static_cast<uint16_t>(settings_.portFirst));
         if (!address) continue;
         core.link = Link::connect(loop_, *this, *address, Span::millis(2000));
@@ -136,25 +137,25 @@
 void Agent::linkUp(Link& link) {
     for (auto& [ip, core] : cores_) {
         if (core.link.get() != &link) continue;
-        core.pause = Span::millis(100), core.heardAt = loop_.now();
+        core.connectPause = Span::millis(100), core.lastHeardAt = loop_.now();
         link.say(Kind::hello, network::Hello{settings_.nodeName, settings_.ip, settings_.zone, life_,
-                                             config_.id().version});
-        tellProxy();
+                                             heldConfig_.id().version});
+        sendStandingToProxy();
         return;
     }
-    auto guest = guests_.find(link.tag);
-    if (guest != guests_.end() && !guest->second.fetchFrom.empty()) link.say(Kind::want, held());
+    auto other = otherLinks_.find(link.tag);
+    if (other != otherLinks_.end() && !other->second.fetchedFrom.empty()) link.say(Kind::want, heldVersion());
 }
 
 void Agent::frame(Link& link, Kind kind, std::string_view payload) {
     for (auto& [ip, core] : cores_) {
         if (core.link.get() != &link) continue;
-        core.heardAt = core.seenAt = loop_.now();
+        core.lastHeardAt = core.lastSeenAt = loop_.now();
         if (kind == Kind::beat) {
-            if (auto b = network::unpacked<network::Beat>(payload)) heardBeat(core, *b);
+            if (auto b = network::unpacked<network::Beat>(payload)) onHeartbeat(core, *b);
         } else if (kind == Kind::welcome) {
             if (auto w = network::unpacked<network::Welcome>(payload)) {
-                for (const std::string& each : w->cores) meetCore(each);
+                for (const std::string& each : w->cores) addCore(each);
                 if (!w->zone.empty()) core.zone = w->zone;
                 std::vector<gossip::Peer> peers;
                 for (const auto& k : w->senders) {
@@ -165,34 +166,35 @@
                 views_.told(loop_.now(), peers);
             }
         } else if (kind == Kind::config) {
-            if (auto c = network::unpacked<network::Config>(payload)) take(*c);
+            if (auto c = network::unpacked<network::Config>(payload)) acceptConfig(*c);
         } else if (kind == Kind::grants && ip == holder_) {
-            toProxy(Kind::grants, payload);
+            sendToProxy(Kind::grants, payload);
         }
         return pump();
     }
-    auto found = guests_.find(link.tag);
-    if (found == guests_.end()) return;
+    auto found = otherLinks_.find(link.tag);
+    if (found == otherLinks_.end()) return;
     if (kind == Kind::hello) {  // the proxy, by loopback
-        proxy_ = link.tag;
-        toldAny_ = false;
-        if (config_.any())
-            link.say(Kind::config, config_.plain());  // it keeps what it has where that is as new
-        tellProxy();
-    } else if (kind == Kind::report && link.tag == proxy_) {
+        proxyTag_ = link.tag;
+        hasSentStanding_ = false;
+        if (heldConfig_.any())
+            link.say(Kind::config, heldConfig_.plain());  // it keeps what it has where that is as new
+        sendStandingToProxy();
+    } else if (kind == Kind::report && link.tag == proxyTag_) {
         auto core = cores_.find(holder_);
         if (core != cores_.end() && core->second.link && core->second.link->isUp())
             core->second.link->send(Kind::report, payload);
     } else if (kind == Kind::want) {
         const auto b = network::unpacked<network::Beat>(payload);
-        const bool proxy = link.tag == proxy_;
-        if (b && config_.any() && !newer(b->version, b->digest))
-            link.say(Kind::config, proxy ? config_.plain() : config_.configFor({b->version, b->digest}));
-    } else if (kind == Kind::config && !found->second.fetchFrom.empty()) {
-        if (auto c = network::unpacked<network::Config>(payload)) take(*c);
+        const bool proxy = link.tag == proxyTag_;
+        if (b && heldConfig_.any() && !isNewer(b->version, b->digest))
+            link.say(Kind::config,
+                     proxy ? heldConfig_.plain() : heldConfig_.configFor({b->version, b->digest}));
+    } else if (kind == Kind::config && !found->second.fetchedFrom.empty()) {
+        if (auto c = network::unpacked<network::Config>(payload)) acceptConfig(*c);
         link.close();
         loop_.bury(std::move(found->second.link));
-        guests_.erase(found);
+        otherLinks_.erase(found);
     }
     pump();
 }
@@ -200,105 +202,106 @@
 void Agent::linkDown(Link& link, bool) {
     for (auto& [ip, core] : cores_) {
         if (core.link.get() != &link) continue;
-        ++coreBreaks_;
+        ++coreLinksLost_;
         link.close();
         loop_.bury(std::move(core.link));
-        if (askedCore_ == ip) askedAt_ = Instant::longAgo();
-        return tellProxy();
+        if (requestedCore_ == ip) requestedAt_ = Instant::longAgo();
+        return sendStandingToProxy();
     }
-    auto found = guests_.find(link.tag);
-    if (found == guests_.end()) return;
-    if (!found->second.fetchFrom.empty()) views_.fetchFailed(loop_.now(), found->second.fetchFrom);
-    if (proxy_ == link.tag) proxy_ = 0;
+    auto found = otherLinks_.find(link.tag);
+    if (found == otherLinks_.end()) return;
+    if (!found->second.fetchedFrom.empty()) views_.fetchFailed(loop_.now(), found->second.fetchedFrom);
+    if (proxyTag_ == link.tag) proxyTag_ = 0;
     link.close();
     loop_.bury(std::move(found->second.link));
-    guests_.erase(found);
+    otherLinks_.erase(found);
     pump();
 }
 
-bool Agent::newer(int64_t version, uint64_t digest) const {
-    return version > 0 && configuration::TextId{version, digest} > config_.id();
+bool Agent::isNewer(int64_t version, uint64_t digest) const {
+    return version > 0 && configuration::TextId{version, digest} > heldConfig_.id();
 }
 
-void Agent::heardBeat(CoreLink& core, const network::Beat& b) {
-    core.last = b;
-    if (b.term > term_ || (b.term == term_ && holder_.empty() && !b.holder.empty())) duty(b.term, b.holder);
-    askConfig(core, b);
+void Agent::onHeartbeat(CoreLink& core, const network::Beat& b) {
+    core.lastHeartbeat = b;
+    if (b.term > term_ || (b.term == term_ && holder_.empty() && !b.holder.empty()))
+        onDutyHolder(b.term, b.holder);
+    requestConfig(core, b);
 }
 
 // One core is asked at a time, the first that tells of a newer configuration; another after a while.
-void Agent::askConfig(CoreLink& core, const network::Beat& b) {
-    const bool near = core.zone == settings_.zone || !coreInOwnZone();
-    const Offer offer{newer(b.version, b.digest), b.inContact, near};
-    if (!asking_.due(loop_.now(), config_.any(), offer)) return;
-    if (loop_.now() - askedAt_ < kAskAgain) return;
-    if (!config_.any() && !b.inContact)
+void Agent::requestConfig(CoreLink& core, const network::Beat& b) {
+    const bool isPreferredZone = core.zone == settings_.zone || !hasCoreInOwnZone();
+    const ConfigOffer offer{isNewer(b.version, b.digest), b.inContact, isPreferredZone};
+    if (!requestPolicy_.shouldRequest(loop_.now(), heldConfig_.any(), offer)) return;
+    if (loop_.now() - requestedAt_ < kRequestRetryInterval) return;
+    if (!heldConfig_.any() && !b.inContact)
         spdlog::warn("configuration {} taken from {}, which is out of contact: it may be old", b.version,
                      core.ip);
-    askedAt_ = loop_.now(), askedCore_ = core.ip;
-    core.link->say(Kind::want, held());
+    requestedAt_ = loop_.now(), requestedCore_ = core.ip;
+    core.link->say(Kind::want, heldVersion());
 }
 
-bool Agent::coreInOwnZone() const {
+bool Agent::hasCoreInOwnZone() const {
     return std::any_of(cores_.begin(), cores_.end(), [this](const auto& each) {
         const CoreLink& core = each.second;
         return core.link && core.link->isUp() && core.zone == settings_.zone;
     });
 }
 
-network::Beat Agent::held() const {
-    if (wantsWhole_) return {};
-    return network::Beat{config_.id().version, config_.id().digest, 0, "", 0};
+network::Beat Agent::heldVersion() const {
+    if (needsFullConfig_) return {};
+    return network::Beat{heldConfig_.id().version, heldConfig_.id().digest, 0, "", 0};
 }
 
-void Agent::take(const network::Config& c) {
-    const configuration::Taking how = config_.take(c);
+void Agent::acceptConfig(const network::Config& c) {
+    const configuration::Taking how = heldConfig_.take(c);
     if (how == configuration::Taking::older) return;
     if (how != configuration::Taking::taken) {
-        ++refusedConfigs_;
-        wantsWhole_ = true;
-        askedAt_ = Instant::longAgo();
+        ++configsRejected_;
+        needsFullConfig_ = true;
+        requestedAt_ = Instant::longAgo();
         spdlog::warn("configuration {} not taken: {}", c.version,
                      how == configuration::Taking::damaged ? "its digest is another"
                                                            : "a change from a text that is not held");
         return;
     }
-    wantsWhole_ = false;
-    askedAt_ = Instant::longAgo();
-    asking_.taken();
-    ++configs_;
-    toProxy(Kind::config, network::packed(c));
+    needsFullConfig_ = false;
+    requestedAt_ = Instant::longAgo();
+    requestPolicy_.onConfigAccepted();
+    ++configsAccepted_;
+    sendToProxy(Kind::config, network::packed(c));
     views_.know(loop_.now(), {c.version, c.digest, term_, holder_});
     spdlog::info("configuration {} taken, {} bytes", c.version, c.bytes.size());
 }
 
-void Agent::duty(uint64_t term, const std::string& holder) {
+void Agent::onDutyHolder(uint64_t term, const std::string& holder) {
     if (term < term_ || (term == term_ && holder == holder_)) return;
     term_ = term, holder_ = holder;
-    meetCore(holder);
-    views_.know(loop_.now(), {config_.id().version, config_.id().digest, term_, holder_});
+    addCore(holder);
+    views_.know(loop_.now(), {heldConfig_.id().version, heldConfig_.id().digest, term_, holder_});
     spdlog::info("startup duty: term {} held by {}", term, holder.empty() ? "nobody" : holder);
-    tellProxy();
+    sendStandingToProxy();
 }
 
-void Agent::toProxy(Kind kind, std::string_view payload) {
-    auto found = guests_.find(proxy_);
-    if (proxy_ != 0 && found != guests_.end()) found->second.link->send(kind, payload);
+void Agent::sendToProxy(Kind kind, std::string_view payload) {
+    auto found = otherLinks_.find(proxyTag_);
+    if (proxyTag_ != 0 && found != otherLinks_.end()) found->second.link->send(kind, payload);
 }
 
-void Agent::tellProxy() {
-    if (proxy_ == 0) return;
+void Agent::sendStandingToProxy() {
+    if (proxyTag_ == 0) return;
     network::Standing s;
     s.senders = static_cast<uint32_t>(std::max(1.0, std::round(views_.count(loop_.now()))));
     s.term = term_;
     auto core = cores_.find(holder_);
     s.linked = core != cores_.end() && core->second.link && core->second.link->isUp();
-    s.silent = !s.linked || loop_.now() - core->second.heardAt > kHolderSilence;
-    if (toldAny_ && s.senders == told_.senders && s.term == told_.term && s.linked == told_.linked &&
-        s.silent == told_.silent)
+    s.silent = !s.linked || loop_.now() - core->second.lastHeardAt > kHolderSilenceTimeout;
+    if (hasSentStanding_ && s.senders == lastStanding_.senders && s.term == lastStanding_.term &&
+        s.linked == lastStanding_.linked && s.silent == lastStanding_.silent)
         return;
-    told_ = s, toldAny_ = true;
-    toProxy(Kind::standing, network::packed(s));
+    lastStanding_ = s, hasSentStanding_ = true;
+    sendToProxy(Kind::standing, network::packed(s));
 }
 
 void Agent::tick() {
@@ -307,25 +310,25 @@
     for (auto& [ip, core] : cores_) {
         if (!core.link) continue;
         // A connection's first packet that was lost at a dark machine is sent again after a second only.
-        bool lost = !core.link->isUp() && now - core.triedAt > kConnectAgain;
-        if (lost || now - core.heardAt > kCoreSilence) silent.push_back(core.link.get());
+        bool lost = !core.link->isUp() && now - core.connectTriedAt > kConnectTimeout;
+        if (lost || now - core.lastHeardAt > kCoreSilenceTimeout) silent.push_back(core.link.get());
     }
     for (Link* link : silent) linkDown(*link, false);
-    forgetSilentCores();
+    removeSilentCores();
     connectCores();
-    if (now - beatAt_ >= kBeat) {
-        beatAt_ = now;
+    if (now - lastHeartbeatAt_ >= kHeartbeatInterval) {
+        lastHeartbeatAt_ = now;
         for (auto& [ip, core] : cores_)
             if (core.link && core.link->isUp())
-                core.link->say(Kind::beat, network::Beat{config_.id().version, 0, term_, "", 0});
+                core.link->say(Kind::beat, network::Beat{heldConfig_.id().version, 0, term_, "", 0});
     }
     for (auto& [ip, core] : cores_)
-        if (core.link && core.link->isUp()) askConfig(core, core.last);
+        if (core.link && core.link->isUp()) requestConfig(core, core.lastHeartbeat);
     if (now >= views_.wakeAt()) views_.tick(now);
     pump();
-    tellProxy();
-    if (now >= logAt_) logAt_ = now + Span::seconds(10), logCounters();
-    if (leaving_ && (proxy_ == 0 || now - leavingSince_ > settings_.bounds.grace - Span::millis(300))) {
+    sendStandingToProxy();
+    if (now >= nextLogAt_) nextLogAt_ = now + Span::seconds(10), logCounters();
+    if (isLeaving_ && (proxyTag_ == 0 || now - leavingSince_ > settings_.bounds.grace - Span::millis(300))) {
         views_.leave(now);
         pump();
         logCounters();
@@ -348,7 +351,7 @@
             // A core that is linked has told of it and will be asked: a sender's own link is the narrower
             // one. Left undone the views ask another a second later. Harm: that second, where the core ends
             // meanwhile.
-            if (config_.any() && coreTells()) continue;
+            if (heldConfig_.any() && hasCoreWithNewerConfig()) continue;
             uint64_t tag = nextTag_++;
             ++fetches_;
             auto link = to ? Link::connect(loop_, *this, *to, Span::seconds(2)) : nullptr;
@@ -357,23 +360,24 @@
                 continue;
             }
             link->tag = tag;
-            guests_[tag] = Guest{std::move(link), f->ip};
+            otherLinks_[tag] = OtherLink{std::move(link), f->ip};
         } else if (auto* h = std::get_if<gossip::HolderNews>(&*output)) {
-            duty(h->term, h->holder);
+            onDutyHolder(h->term, h->holder);
         }
     }
 }
 
-bool Agent::coreTells() const {
+bool Agent::hasCoreWithNewerConfig() const {
     return std::any_of(cores_.begin(), cores_.end(), [this](const auto& each) {
         const CoreLink& core = each.second;
-        return core.link && core.link->isUp() && newer(core.last.version, core.last.digest);
+        return core.link && core.link->isUp() &&
+               isNewer(core.lastHeartbeat.version, core.lastHeartbeat.digest);
     });
 }
 
 void Agent::leave() {
-    if (leaving_) return;
-    leaving_ = true, leavingSince_ = loop_.now();
+    if (isLeaving_) return;
+    isLeaving_ = true, leavingSince_ = loop_.now();
     spdlog::info("leaving once the proxy has gone");
 }
 
@@ -383,7 +387,7 @@
     spdlog::info(
         "counters cores={} cores_up={} core_breaks={} configs={} configs_refused={} fetches={} term={} "
         "senders={:.0f}",
-        cores_.size(), up, coreBreaks_, configs_, refusedConfigs_, fetches_, term_,
+        cores_.size(), up, coreLinksLost_, configsAccepted_, configsRejected_, fetches_, term_,
         views_.count(loop_.now()));
 }
 
--- a/system/agent/main.cpp
+++ b/system/agent/main.cpp
@@ -26,7 +26,7 @@
         auto read = configuration::readSettings(start->settingsPath);
         if (auto* problem = std::get_if<network::Problem>(&read))
             return spdlog::error("settings kept: {}", problem->line());
-        agent.newSettings(std::get<configuration::Settings>(read));
+        agent.applySettings(std::get<configuration::Settings>(read));
     });
     loop.run();
     return 0;
--- a/system/control_plane/control.hpp
+++ b/system/control_plane/control.hpp
@@ -17,7 +17,7 @@
 #include "system/configuration/settings.hpp"
 #include "system/consensus/core.hpp"
 #include "system/consensus/keeper.hpp"
-#include "system/control_plane/backlog.hpp"
+#include "system/control_plane/report_backlog.hpp"
 #include "system/control_plane/scaler_host.hpp"
 #include "system/network/http_server.hpp"
 #include "system/network/link.hpp"
@@ -38,23 +38,23 @@
 };
 struct ChangeVoters {  // who counts towards a majority
     uint64_t visit;
-    std::vector<std::string> gone, come;  // ips
+    std::vector<std::string> removed, added;  // ips
 };
-struct Unknown {
+struct InvalidRequest {
     uint64_t visit;
     int status;
 };
-using Command = std::variant<PutConfiguration, GetConfiguration, GetStatus, ChangeVoters, Unknown>;
-Command decode(uint64_t visit, network::HttpRequest&&);
+using Command = std::variant<PutConfiguration, GetConfiguration, GetStatus, ChangeVoters, InvalidRequest>;
+Command decodeCommand(uint64_t visit, network::HttpRequest&&);
 
 class Control final : public network::HttpHost, public network::LinkOwner, public network::Watcher {
   public:
     // defect: broken on purpose, for the range alone.
-    Control(network::Loop&, const configuration::Settings&, uint32_t chance,
+    Control(network::Loop&, const configuration::Settings&, uint32_t randomSeed,
             consensus::Defect defect = consensus::Defect::none);
     ~Control() override;
     bool open(std::string& error);
-    void newSettings(const configuration::Settings&);
+    void applySettings(const configuration::Settings&);
     void leave();
     void logCounters() const;
 
@@ -67,49 +67,49 @@
     void woke(uint32_t events) override;  // the keeper has results
 
   private:
-    struct Guest {  // an agent's link, or a fellow core's to us
+    struct InboundLink {  // an agent's link, or a fellow core's to us
         std::unique_ptr<network::Link> link;
         std::string coreIp;
         network::Hello hello;
-        bool agent = false;
-        Instant heardAt;
-        int64_t version = 0;  // of the configuration that the agent said it has
+        bool isAgent = false;
+        Instant lastHeardAt;
+        int64_t configVersion = 0;  // of the configuration that the agent said it has
     };
-    struct Peer {  // our link to a fellow core
+    struct OutboundLink {  // our link to a fellow core
         std::unique_ptr<network::Link> link;
-        Instant triedAt = Instant::longAgo();
-        std::deque<std::string> waiting;
+        Instant connectTriedAt = Instant::longAgo();
+        std::deque<std::string> unsentMessages;
     };
     void run(const PutConfiguration&);
     void run(const GetConfiguration&);
     void run(const GetStatus&);
     void run(const ChangeVoters&);
-    void run(const Unknown&);
-    std::string status() const;  // JSON
-    void members(rapidjson::Writer<rapidjson::StringBuffer>&, Instant now) const;
+    void run(const InvalidRequest&);
+    std::string statusJson() const;  // JSON
+    void writeMembers(rapidjson::Writer<rapidjson::StringBuffer>&, Instant now) const;
     void runCommands();
-    void pumpSoon();
+    void schedulePump();
     void pump();
-    void arm();
-    void toPeer(const std::string& ip, const consensus::Message&);
-    void noMajority(network::HttpVisit&, const char* what);
-    void answered(const consensus::Answer&);
-    void news(const std::shared_ptr<const consensus::Value>&);
-    void duty(const consensus::Duty&);
-    void reportsSoon(Instant at);
-    void takeReports();
-    void beatAgents();
-    void beatAgent(Guest&);
-    void beatSoon();
-    void welcome(Guest&);
-    void followCores();
+    void armTimer();
+    void sendToCore(const std::string& ip, const consensus::Message&);
+    void answerNoMajority(network::HttpVisit&, const char* what);
+    void onAnswer(const consensus::Answer&);
+    void onValue(const std::shared_ptr<const consensus::Value>&);
+    void onDuty(const consensus::Duty&);
+    void scheduleReports(Instant at);
+    void processReports();
+    void sendHeartbeats();
+    void sendHeartbeat(InboundLink&);
+    void scheduleHeartbeats();
+    void sendWelcome(InboundLink&);
+    void announceCoreChanges();
     std::vector<std::string> knownCores() const;  // by their ips, this one too
     void sendConfig(network::Link&, configuration::TextId base);
-    void followContact();
-    void followRebuilding();
-    void followLostVoters();
+    void checkContact();
+    void checkRebuilding();
+    void checkLostVoters();
     void housekeep();
-    void mayEnd();
+    void stopWhenDone();
 
     network::Loop& loop_;
     configuration::Settings settings_;
@@ -118,37 +118,37 @@
     std::unique_ptr<consensus::Keeper> keeper_;
     std::unique_ptr<consensus::Core> core_;
     std::unique_ptr<ScalerHost> scalerHost_;
-    std::unique_ptr<network::Listener> control_, inner_;
+    std::unique_ptr<network::Listener> controlListener_, coreListener_;
     std::unordered_map<uint64_t, std::unique_ptr<network::HttpVisit>> visits_;
-    std::map<uint64_t, Guest> guests_;
+    std::map<uint64_t, InboundLink> inboundLinks_;
     std::map<std::string, uint64_t> agentByName_;
-    std::map<std::string, Peer> peers_;
-    std::vector<std::string> toldCores_;  // what linked agents know of the cores
+    std::map<std::string, OutboundLink> outboundLinks_;
+    std::vector<std::string> announcedCores_;  // what linked agents know of the cores
     std::deque<Command> commands_;
-    Backlog reports_;
-    bool reporting_ = false;
-    struct Ticket {
+    ReportBacklog reportBacklog_;
+    bool isReportTurnScheduled_ = false;
+    struct PendingOperation {
         uint64_t visit;
         bool put;
         int64_t version;
         bool voters = false;
     };
-    std::map<uint64_t, Ticket> tickets_;
-    std::shared_ptr<const consensus::Value> value_;  // the newest that is known to lie on a majority
+    std::map<uint64_t, PendingOperation> pendingOperations_;
+    std::shared_ptr<const consensus::Value> committedValue_;  // the newest that is known to lie on a majority
     std::shared_ptr<const configuration::Configuration> configuration_;  // of value_
-    configuration::HeldText texts_;                                      // of value_ and those before it
+    configuration::HeldText configTexts_;                                // of value_ and those before it
     consensus::Duty duty_;
-    uint64_t nextVisit_ = 1, nextTag_ = 1, nextTicket_ = 1;
-    bool pumping_ = false, beating_ = false, leaving_ = false, saveFailedLast_ = false, inContact_ = false,
-         rebuilding_ = false;
-    Instant leavingSince_, beatAt_, logAt_;
-    Instant tooManyLostSince_ = Instant::never();
-    bool tooManyLostTold_ = false;
+    uint64_t nextVisit_ = 1, nextTag_ = 1, nextOperation_ = 1;
+    bool isPumpScheduled_ = false, isHeartbeatScheduled_ = false, isLeaving_ = false, lastSaveFailed_ = false,
+         wasInContact_ = false, wasRebuilding_ = false;
+    Instant leavingSince_, lastHeartbeatAt_, nextLogAt_;
+    Instant majorityLostSince_ = Instant::never();
+    bool isMajorityLossLogged_ = false;
     network::TimerId timer_ = 0;
     Instant armedFor_ = Instant::never();
-    uint64_t puts_ = 0, acked_ = 0, invalid_ = 0, conflicts_ = 0, noMajority_ = 0, gets_ = 0,
-             agentBreaks_ = 0, saves_ = 0, saveFailures_ = 0;
-    uint32_t chance_;
+    uint64_t puts_ = 0, acknowledged_ = 0, invalid_ = 0, conflicts_ = 0, noMajority_ = 0, gets_ = 0,
+             agentLinksLost_ = 0, saves_ = 0, saveFailures_ = 0;
+    uint32_t randomSeed_;
     consensus::Defect defect_;
 };
 
--- a/system/control_plane/main.cpp
+++ b/system/control_plane/main.cpp
@@ -36,7 +36,7 @@
         auto read = configuration::readSettings(start->settingsPath);
         if (auto* problem = std::get_if<network::Problem>(&read))
             return spdlog::error("settings kept: {}", problem->line());
-        control.newSettings(std::get<configuration::Settings>(read));
+        control.applySettings(std::get<configuration::Settings>(read));
     });
     loop.run();
     return 0;
--- a/system/control_plane/backlog.hpp
+++ b/system/control_plane/report_backlog.hpp
@@ -15,35 +15,35 @@
 
 namespace petrelpond::control_plane {
 
-class Backlog {
+class ReportBacklog {
   public:
     // Some 0.1 s of the smallest machine at their longest, as whole ones: far below the leaseTime.
-    static constexpr size_t kATurn = 16;
+    static constexpr size_t kMaxPerTurn = 16;
 
     void push(Instant now, uint64_t link, std::string_view report) {
-        all_.push_back({now, link, std::string(report)});
+        queue_.push_back({now, link, std::string(report)});
     }
     // How long the first of them has waited.
-    Span age(Instant now) const { return all_.empty() ? Span() : now - all_.front().came; }
-    bool empty() const { return all_.empty(); }
-    void clear() { all_.clear(); }
+    Span oldestAge(Instant now) const { return queue_.empty() ? Span() : now - queue_.front().receivedAt; }
+    bool empty() const { return queue_.empty(); }
+    void clear() { queue_.clear(); }
     // Gives what one turn may take to `report(link, text)`; the rest waits for the next turn.
     template <class Report>
-    void turn(Report report) {
-        for (size_t i = 0; i < kATurn && !all_.empty(); ++i) {
-            Waiting first = std::move(all_.front());
-            all_.pop_front();
+    void processTurn(Report report) {
+        for (size_t i = 0; i < kMaxPerTurn && !queue_.empty(); ++i) {
+            QueuedReport first = std::move(queue_.front());
+            queue_.pop_front();
             report(first.link, first.text);
         }
     }
 
   private:
-    struct Waiting {
-        Instant came;
+    struct QueuedReport {
+        Instant receivedAt;
         uint64_t link;
         std::string text;
     };
-    std::deque<Waiting> all_;
+    std::deque<QueuedReport> queue_;
 };
 
 }  // namespace petrelpond::control_plane
--- a/system/control_plane/status.cpp
+++ b/system/control_plane/status.cpp
@@ -17,11 +17,11 @@
 
 // The answer is bounded, whatever agents and configurations hold: what is left out is counted, never silently
 // missing. At these bounds it is under a megabyte.
-constexpr size_t kMostAgents = 1024, kMostServices = 512, kMostCores = 64, kMostName = 128;
+constexpr size_t kMaxAgents = 1024, kMaxServices = 512, kMaxCores = 64, kMaxNameBytes = 128;
 
 // Names come from agents and configurations: cut to kMostName bytes, and bytes that are no UTF-8 become '?',
 // else one odd agent would make the whole answer unreadable.
-void word(Writer& w, std::string_view name) {
+void writeString(Writer& w, std::string_view name) {
     std::string out;
     size_t at = 0;
     while (at < name.size()) {
@@ -29,21 +29,21 @@
         rapidjson::MemoryStream in(name.data() + at, name.size() - at);
         bool good = rapidjson::UTF8<>::Validate(in, one);
         size_t taken = good ? in.Tell() : 1;
-        if (out.size() + taken > kMostName) break;
+        if (out.size() + taken > kMaxNameBytes) break;
         out += good ? std::string(one.GetString(), one.GetSize()) : "?";
         at += taken;
     }
     w.String(out.data(), static_cast<rapidjson::SizeType>(out.size()));
 }
 
-void text(Writer& w, const char* key, std::string_view value) {
+void writeText(Writer& w, const char* key, std::string_view value) {
     w.Key(key);
-    word(w, value);
+    writeString(w, value);
 }
-void yes(Writer& w, const char* key, bool value) { w.Key(key), w.Bool(value); }
-void number(Writer& w, const char* key, uint64_t value) { w.Key(key), w.Uint64(value); }
-void version(Writer& w, const char* key, int64_t value) { w.Key(key), w.Int64(value); }
-void seconds(Writer& w, const char* key, Span value) {
+void writeBool(Writer& w, const char* key, bool value) { w.Key(key), w.Bool(value); }
+void writeNumber(Writer& w, const char* key, uint64_t value) { w.Key(key), w.Uint64(value); }
+void writeVersion(Writer& w, const char* key, int64_t value) { w.Key(key), w.Int64(value); }
+void writeSeconds(Writer& w, const char* key, Span value) {
     w.Key(key);
     const int64_t wholeMillis = value.inMicros() / 1000;
     w.Double(static_cast<double>(wholeMillis) / 1e3);
@@ -53,118 +53,123 @@
 
 void Control::run(const GetStatus& c) {
     if (auto v = visits_.find(c.visit); v != visits_.end())
-        v->second->answer(200, "Content-Type: application/json\r\n", status());
+        v->second->answer(200, "Content-Type: application/json\r\n", statusJson());
 }
 
 // Who votes, who catches up, who is suspected and since when, and how many voters may still be lost.
-void Control::members(rapidjson::Writer<rapidjson::StringBuffer>& w, Instant now) const {
+void Control::writeMembers(rapidjson::Writer<rapidjson::StringBuffer>& w, Instant now) const {
     w.Key("losses_left"), w.Int(core_->lossesLeft(now));  // negative: no majority
     w.Key("members"), w.StartArray();
     const auto all = core_->members(now);
-    for (size_t i = 0; i < std::min(all.size(), kMostCores); ++i) {
+    for (size_t i = 0; i < std::min(all.size(), kMaxCores); ++i) {
         w.StartObject();
-        text(w, "ip", all[i].node);
-        yes(w, "votes", all[i].votes), yes(w, "catching_up", all[i].catchingUp);
-        yes(w, "standby", all[i].standby), yes(w, "leaving", all[i].leaving);
-        yes(w, "suspected", all[i].suspected), seconds(w, "silent_s", all[i].silent);
+        writeText(w, "ip", all[i].node);
+        writeBool(w, "votes", all[i].votes), writeBool(w, "catching_up", all[i].catchingUp);
+        writeBool(w, "standby", all[i].standby), writeBool(w, "leaving", all[i].leaving);
+        writeBool(w, "suspected", all[i].suspected), writeSeconds(w, "silent_s", all[i].silent);
         w.EndObject();
     }
     w.EndArray();
 }
 
-std::string Control::status() const {
+std::string Control::statusJson() const {
     const Instant now = loop_.now();
     const auto& voters = core_->voters();
-    const bool selfIsVoter = std::find(voters.begin(), voters.end(), settings_.ip) != voters.end();
+    const bool isSelfVoter = std::find(voters.begin(), voters.end(), settings_.ip) != voters.end();
     rapidjson::StringBuffer out;
     Writer w(out);
     w.StartObject();
-    text(w, "name", settings_.nodeName), text(w, "ip", settings_.ip), text(w, "zone", settings_.zone);
-    yes(w, "leaving", leaving_);
-    yes(w, "in_contact", core_->inContact(now));  // with a majority, lately: else what follows may be old
+    writeText(w, "name", settings_.nodeName), writeText(w, "ip", settings_.ip),
+        writeText(w, "zone", settings_.zone);
+    writeBool(w, "leaving", isLeaving_);
+    writeBool(w, "in_contact",
+              core_->inContact(now));  // with a majority, lately: else what follows may be old
 
     w.Key("configuration"), w.StartObject();
     auto held = core_->held();
-    version(w, "on_majority", value_ ? value_->version : 0);  // 0: none known
-    version(w, "held", held ? held->version : 0);
+    writeVersion(w, "on_majority", committedValue_ ? committedValue_->version : 0);  // 0: none known
+    writeVersion(w, "held", held ? held->version : 0);
     w.EndObject();
 
     w.Key("disk"), w.StartObject();
-    yes(w, "counts", selfIsVoter && !core_->recovering() && !saveFailedLast_);
-    yes(w, "is_voter", selfIsVoter), yes(w, "recovering", core_->recovering());
-    yes(w, "last_save_failed", saveFailedLast_);
+    writeBool(w, "counts", isSelfVoter && !core_->recovering() && !lastSaveFailed_);
+    writeBool(w, "is_voter", isSelfVoter), writeBool(w, "recovering", core_->recovering());
+    writeBool(w, "last_save_failed", lastSaveFailed_);
     w.EndObject();
 
-    number(w, "voters_epoch", core_->epoch());  // 0: not agreed on
+    writeNumber(w, "voters_epoch", core_->epoch());  // 0: not agreed on
     w.Key("voters"), w.StartArray();
-    for (size_t i = 0; i < std::min(voters.size(), kMostCores); ++i) word(w, voters[i]);
+    for (size_t i = 0; i < std::min(voters.size(), kMaxCores); ++i) writeString(w, voters[i]);
     w.EndArray();
-    members(w, now);
+    writeMembers(w, now);
     w.Key("seeds"), w.StartArray();
-    for (size_t i = 0; i < std::min(settings_.seeds.size(), kMostCores); ++i)
-        word(w, settings_.seeds[i].text());
+    for (size_t i = 0; i < std::min(settings_.seeds.size(), kMaxCores); ++i)
+        writeString(w, settings_.seeds[i].text());
     w.EndArray();
 
     w.Key("peers"), w.StartArray();
     auto peers = core_->peers();
-    for (size_t i = 0; i < std::min(peers.size(), kMostCores); ++i) {
+    for (size_t i = 0; i < std::min(peers.size(), kMaxCores); ++i) {
         w.StartObject();
-        text(w, "ip", peers[i]);
+        writeText(w, "ip", peers[i]);
         Instant heard = Instant::longAgo();
-        for (const auto& [tag, guest] : guests_)
-            if (guest.coreIp == peers[i]) heard = std::max(heard, guest.heardAt);
+        for (const auto& [tag, inbound] : inboundLinks_)
+            if (inbound.coreIp == peers[i]) heard = std::max(heard, inbound.lastHeardAt);
         if (heard > Instant::longAgo())
-            seconds(w, "heard_s_ago", now - heard);  // else it has no link to us now
+            writeSeconds(w, "heard_s_ago", now - heard);  // else it has no link to us now
         w.EndObject();
     }
     w.EndArray();
 
     w.Key("duty"), w.StartObject();
     const consensus::Duty duty = core_->duty();
-    const bool here = duty.held && duty.validUntil > now;
-    text(w, "holder", duty.holder), number(w, "term", duty.term), yes(w, "held_here", here);
-    if (here) seconds(w, "left_s", duty.validUntil - now);
+    const bool isHeldHere = duty.held && duty.validUntil > now;
+    writeText(w, "holder", duty.holder), writeNumber(w, "term", duty.term),
+        writeBool(w, "held_here", isHeldHere);
+    if (isHeldHere) writeSeconds(w, "left_s", duty.validUntil - now);
     w.EndObject();
 
-    number(w, "agents_linked", agentByName_.size());
+    writeNumber(w, "agents_linked", agentByName_.size());
     w.Key("agents"), w.StartArray();
     size_t listed = 0;
     for (const auto& [name, tag] : agentByName_) {
-        auto guest = guests_.find(tag);
-        if (guest == guests_.end() || listed++ >= kMostAgents) continue;
-        const network::Hello& h = guest->second.hello;
+        auto inbound = inboundLinks_.find(tag);
+        if (inbound == inboundLinks_.end() || listed++ >= kMaxAgents) continue;
+        const network::Hello& h = inbound->second.hello;
         w.StartObject();
-        text(w, "name", h.name), text(w, "ip", h.ip), text(w, "zone", h.zone);
-        seconds(w, "heard_s_ago", now - guest->second.heardAt);
-        version(w, "version", guest->second.version);  // that it said it has
+        writeText(w, "name", h.name), writeText(w, "ip", h.ip), writeText(w, "zone", h.zone);
+        writeSeconds(w, "heard_s_ago", now - inbound->second.lastHeardAt);
+        writeVersion(w, "version", inbound->second.configVersion);  // that it said it has
         w.EndObject();
     }
     w.EndArray();
 
     if (scalerHost_) {
-        const scaler::Counts& counts = scalerHost_->planner().counts();
+        const scaler::Counters& counters = scalerHost_->planner().counters();
         w.Key("planner"), w.StartObject();
-        number(w, "term", scalerHost_->term());
-        number(w, "starts", counts.starts), number(w, "starts_failed", counts.startsFailed);
-        number(w, "stops", counts.stops), number(w, "adopted", counts.adopted),
-            number(w, "lost", counts.lost);
-        number(w, "drained", counts.drained), number(w, "overheld", counts.overheld);
-        number(w, "wrong_term", counts.wrongTerm), number(w, "recalls", counts.recalls);
-        auto services = scalerHost_->planner().services();
+        writeNumber(w, "term", scalerHost_->term());
+        writeNumber(w, "starts", counters.starts), writeNumber(w, "starts_failed", counters.startsFailed);
+        writeNumber(w, "stops", counters.stops), writeNumber(w, "adopted", counters.adopted),
+            writeNumber(w, "lost", counters.lost);
+        writeNumber(w, "drained", counters.drained), writeNumber(w, "overheld", counters.overcommitted);
+        writeNumber(w, "wrong_term", counters.wrongTerm), writeNumber(w, "recalls", counters.recalledSlots);
+        auto services = scalerHost_->planner().serviceStates();
         // Where there are too many, those in want come first, then those with instances.
         std::sort(services.begin(), services.end(),
                   [](const scaler::ServiceState& a, const scaler::ServiceState& b) {
                       return std::tuple(b.waiting, b.up + b.booting, a.name) <
                              std::tuple(a.waiting, a.up + a.booting, b.name);
                   });
-        number(w, "services_known", services.size());
+        writeNumber(w, "services_known", services.size());
         w.Key("services"), w.StartArray();
-        for (size_t i = 0; i < std::min(services.size(), kMostServices); ++i) {
+        for (size_t i = 0; i < std::min(services.size(), kMaxServices); ++i) {
             const scaler::ServiceState& s = services[i];
             w.StartObject();
-            text(w, "name", s.name);
-            number(w, "up", s.up), number(w, "booting", s.booting), number(w, "draining", s.draining);
-            number(w, "slots", s.slots), number(w, "waiting", s.waiting), number(w, "busy", s.busy);
+            writeText(w, "name", s.name);
+            writeNumber(w, "up", s.up), writeNumber(w, "booting", s.booting),
+                writeNumber(w, "draining", s.draining);
+            writeNumber(w, "slots", s.slots), writeNumber(w, "waiting", s.waiting),
+                writeNumber(w, "busy", s.busy);
             w.EndObject();
         }
         w.EndArray(), w.EndObject();
--- a/system/proxy/dispatch.cpp
+++ b/system/proxy/dispatch.cpp
@@ -80,7 +80,7 @@
     // term shows that as well as the standing does.
     if (grants.term < std::max(term_, grantedTerm_)) return;
     grantedTerm_ = grants.term;
-    if (grants.whole) {
+    if (grants.isFull) {
         for (auto& i : instances_)
             if (i && !i->dropped) {
                 bool named = std::any_of(grants.grants.begin(), grants.grants.end(),
@@ -96,7 +96,7 @@
         if (found == instanceById_.end()) {
             if (g.slots == 0) {  // not known here: so nothing is held of it
                 lowered = true;
-                if (g.ends)
+                if (g.isEnding)
                     for (Service& each : services_) forget(each, g.instance);
                 heldChanges_[g.instance] = {g.instance, g.service, g.address, 0, 0};
                 continue;
@@ -117,7 +117,7 @@
         bool more = g.slots > i.slots;
         lowered |= g.slots < i.slots || g.slots == 0;
         i.slots = g.slots;
-        i.ends = g.ends;
+        i.ends = g.isEnding;
         if (i.slots > 0) i.dropped = false;
         if (more) raised.push_back(found->second);
         // Every number is answered, a higher one too: the holder lowers none that it has not seen arrive.
@@ -143,7 +143,7 @@
         const Instance* i = instances_[ix].get();
         return i && i->busy < i->slots;
     });
-    if (lowered || idle || grants.whole)
+    if (lowered || idle || grants.isFull)
         report(now, false);
     else if (!heldChanges_.empty())
         wakeBy(reportedAt_ + kReportEvery);
@@ -657,8 +657,8 @@
         return;
     }
     scaler::Report out;
-    out.term = term_, out.whole = whole, out.leaving = leaving_;
-    out.spanMs = static_cast<uint32_t>((now - reportedAt_).inMicros() / 1000);
+    out.term = term_, out.isFull = whole, out.isLeaving = leaving_;
+    out.intervalMs = static_cast<uint32_t>((now - reportedAt_).inMicros() / 1000);
     reportedAt_ = now;
     if (whole) {
         changed_.clear();
@@ -695,7 +695,7 @@
         out.held.push_back(std::move(held));
     }
     heldChanges_.clear();
-    out.dead.swap(dead_), out.up.swap(up_);
+    out.unreachable.swap(dead_), out.up.swap(up_);
     ++counters_.reports;
     out_.push_back(Tell{std::move(out)});
 }
--- a/system/proxy/dispatch.hpp
+++ b/system/proxy/dispatch.hpp
@@ -237,7 +237,7 @@
     std::multimap<Instant, RequestId> holds_;  // until when a request may wait; looked at in sweeps
     std::deque<Output> out_;
     std::vector<std::string> dead_, up_;
-    std::map<std::string, scaler::Held> heldChanges_;
+    std::map<std::string, scaler::HeldSlots> heldChanges_;
     std::vector<uint32_t> changed_;
     std::set<uint32_t> hungry_;  // services for which requests wait
     uint64_t term_ = 0, grantedTerm_ = 0, order_ = 0;
--- a/system/proxy/dispatch_test.cpp
+++ b/system/proxy/dispatch_test.cpp
@@ -103,10 +103,10 @@
         return out;
     }
     // What the holder was last told of an instance.
-    std::optional<scaler::Held> held(const std::string& id) const {
-        std::optional<scaler::Held> last;
+    std::optional<scaler::HeldSlots> held(const std::string& id) const {
+        std::optional<scaler::HeldSlots> last;
         for (auto& r : reports()) {
-            if (r.whole) last.reset();
+            if (r.isFull) last.reset();
             for (auto& h : r.held)
                 if (h.instance == id) last = h;
         }
@@ -230,7 +230,7 @@
     p.core.standing(p.now, 2, true, 1);
     p.take();
     ASSERT_FALSE(p.reports().empty());
-    EXPECT_TRUE(p.reports().back().whole);
+    EXPECT_TRUE(p.reports().back().isFull);
     EXPECT_EQ(p.reports().back().term, 2u);
 }
 
@@ -242,7 +242,7 @@
     p.take();
     auto reports = p.reports();
     ASSERT_FALSE(reports.empty());
-    EXPECT_TRUE(reports.back().whole);
+    EXPECT_TRUE(reports.back().isFull);
     EXPECT_EQ(reports.back().term, 2u);
     std::set<std::string> named;
     for (auto& h : reports.back().held) named.insert(h.instance);
@@ -250,7 +250,7 @@
     p.core.unlinked();
     p.core.standing(p.now, 2, true, 1);  // the same term on a new link
     p.take();
-    EXPECT_TRUE(p.reports().back().whole);
+    EXPECT_TRUE(p.reports().back().isFull);
     EXPECT_EQ(p.reports().size(), reports.size() + 1);
 }
 
@@ -349,7 +349,7 @@
 TEST(Borrowing, WhatEndedMissedOrIsLongAgoIsNotBorrowed) {
     Play p = withFormers();
     scaler::Grant ends = grant("a", 0);
-    ends.ends = true;
+    ends.isEnding = true;
     p.grants({ends});
     silence(p, true);
     auto one = p.come();
@@ -613,7 +613,7 @@
             p.take();
         }
     }
-    EXPECT_EQ(p.told("a", &scaler::Report::dead), 1);
+    EXPECT_EQ(p.told("a", &scaler::Report::unreachable), 1);
 }
 
 TEST(Dispatch, ADeadInstanceIsReportedAfterTwoMisses) {
@@ -622,11 +622,11 @@
     auto id = p.come(5000);
     p.end(id, Ending::unconnected);
     p.pass(150);
-    EXPECT_EQ(p.told("a", &scaler::Report::dead), 0);
+    EXPECT_EQ(p.told("a", &scaler::Report::unreachable), 0);
     EXPECT_TRUE(p.go(p.now + Span::seconds(1), [&] { return p.sends().size() == 2; }));
     p.end(id, Ending::unconnected);
     p.pass(250);
-    EXPECT_EQ(p.told("a", &scaler::Report::dead), 1);
+    EXPECT_EQ(p.told("a", &scaler::Report::unreachable), 1);
 
     Play q;  // an answer between the two
     q.grants({grant("a", 1)});
@@ -637,7 +637,7 @@
         q.end(q.sends().back().id, e);
     }
     q.pass(300);
-    EXPECT_EQ(q.told("a", &scaler::Report::dead), 0);
+    EXPECT_EQ(q.told("a", &scaler::Report::unreachable), 0);
 }
 
 // What the holder can act on is not kept until some later round: within 20 ms of what brought it about.
@@ -669,7 +669,7 @@
     q.pass(200);
     q.end(three, Ending::unconnected);
     q.pass(20);
-    EXPECT_EQ(q.told("a", &scaler::Report::dead), 1);
+    EXPECT_EQ(q.told("a", &scaler::Report::unreachable), 1);
 }
 
 // A holder that is new knows nothing of what was told to the one before it.
@@ -681,14 +681,14 @@
         p.end(id, Ending::unconnected);
         ASSERT_TRUE(p.go(p.now + Span::seconds(2), [&] { return p.sends().size() == n; }));
     }
-    ASSERT_EQ(p.told("a", &scaler::Report::dead), 1);
+    ASSERT_EQ(p.told("a", &scaler::Report::unreachable), 1);
     p.core.standing(p.now, 2, true, 1);
     p.take();
-    EXPECT_EQ(p.told("a", &scaler::Report::dead), 2);
+    EXPECT_EQ(p.told("a", &scaler::Report::unreachable), 2);
     // And again at a further miss: the holder believes one sender at its second word.
     p.end(id, Ending::unconnected);
     p.pass(1500);
-    EXPECT_EQ(p.told("a", &scaler::Report::dead), 3);
+    EXPECT_EQ(p.told("a", &scaler::Report::unreachable), 3);
 }
 
 TEST(Dispatch, ACallFarBeyondItsKindIsGivenUpWhileThereIsTime) {
@@ -728,8 +728,8 @@
     p.core.leaving(p.now);
     p.take();
     auto last = p.reports().back();
-    EXPECT_TRUE(last.leaving);
-    EXPECT_TRUE(last.whole);
+    EXPECT_TRUE(last.isLeaving);
+    EXPECT_TRUE(last.isFull);
     ASSERT_EQ(last.held.size(), 1u);
     EXPECT_EQ(last.held[0].busy, 1u);
 }
@@ -1058,7 +1058,7 @@
                         g.grants.push_back({name, name.substr(0, 1), "10.0.0.1:80", zone, some, upInMs});
                     }
                     if (g.term == term) {
-                        if (g.whole)
+                        if (g.isFull)
                             for (auto& [name, n] : slots) n = 0;
                         for (auto& x : g.grants) slots[x.instance] = x.slots;
                     }
--- a/system/proxy/proxy_test.cpp
+++ b/system/proxy/proxy_test.cpp
@@ -269,7 +269,7 @@
     // Configured, linked and with slots at these endpoints: i-1, i-2 and so on.
     void begin(std::vector<std::pair<const Door*, uint32_t>> to) {
         agent_->send(configuration(7) + standing() + grants(to));
-        ASSERT_TRUE(reportThat([](auto& r) { return r.whole; }));
+        ASSERT_TRUE(reportThat([](auto& r) { return r.isFull; }));
     }
     std::unique_ptr<Wire> client() { return Wire::to(frontPort_); }
     std::string asked(const std::string& bytes) {
@@ -570,7 +570,7 @@
     std::string back = c->message();
     EXPECT_EQ(statusOf(back), 200);
     EXPECT_EQ(bodyOf(back), "here");
-    EXPECT_TRUE(reportThat([](auto& r) { return r.dead == std::vector<std::string>{"i-1"}; }));
+    EXPECT_TRUE(reportThat([](auto& r) { return r.unreachable == std::vector<std::string>{"i-1"}; }));
 }
 
 TEST_F(ProxyTest, AFullEndpointsWordIsAPromise) {
@@ -805,11 +805,11 @@
         "route_type":"idempotent","timeout_ms":1,"target_latency_ms":1,"priority":2,"service":"s",
         "max_attempts":1})";
     agent_->send(configuration(8, route) + configuration(7) + standing());
-    ASSERT_TRUE(reportThat([](auto& r) { return r.whole; }));
+    ASSERT_TRUE(reportThat([](auto& r) { return r.isFull; }));
     EXPECT_EQ(statusOf(asked(request("/new/a", "id-1"))), 503);  // known, and without a slot
     EXPECT_EQ(statusOf(asked("GET /new/a HTTP/1.1\r\nHost: h.example\r\n\r\n")), 400);  // without its id
     agent_->send(configuration(9) + standing(2));
-    ASSERT_TRUE(reportThat([](auto& r) { return r.whole && r.term == 2; }));
+    ASSERT_TRUE(reportThat([](auto& r) { return r.isFull && r.term == 2; }));
     EXPECT_EQ(statusOf(asked(request("/new/a", "id-1"))), 404);
 }
 
@@ -825,7 +825,7 @@
     EXPECT_EQ(nextFrame().first, network::Kind::want);
     EXPECT_EQ(statusOf(readiness()), 503);
     agent_->send(frame(network::Kind::config, network::packed(held.plain())) + standing());
-    ASSERT_TRUE(reportThat([](auto& r) { return r.whole; }));
+    ASSERT_TRUE(reportThat([](auto& r) { return r.isFull; }));
     EXPECT_EQ(statusOf(readiness()), 200);
 }
 
@@ -840,7 +840,7 @@
     e->message();
     turning_.ask([this] { proxy_->leave(); });
     EXPECT_EQ(statusOf(readiness()), 503);
-    EXPECT_TRUE(reportThat([](auto& r) { return r.leaving; }));
+    EXPECT_TRUE(reportThat([](auto& r) { return r.isLeaving; }));
     auto late = client();  // one that the platform still sent
     late->send(request("/once/b", "id-2"));
     auto f = door.taken();
--- a/system/proxy/slots_sim_for_test.hpp
+++ b/system/proxy/slots_sim_for_test.hpp
@@ -130,9 +130,9 @@
             at(millis(5 + below(60)), [this, c, generation, s, id, status] {
                 toPlanner(c, generation, [s, id, status](scaler::Planner& p, Instant now) {
                     if (status == 200)
-                        p.started(now, s.nonce, id, "x:" + id);
+                        p.onStarted(now, s.nonce, id, "x:" + id);
                     else
-                        p.startFailed(now, s.nonce, status);
+                        p.onStartFailed(now, s.nonce, status);
                 });
             });
         });
@@ -147,7 +147,8 @@
                 vanish(id);
             }
             at(millis(5 + below(60)), [this, c, generation, id] {
-                toPlanner(c, generation, [id](scaler::Planner& p, Instant now) { p.stopped(now, id, 200); });
+                toPlanner(c, generation,
+                          [id](scaler::Planner& p, Instant now) { p.onStopped(now, id, 200); });
             });
         });
     }
@@ -161,7 +162,7 @@
     }
     void list(size_t c, int generation) {
         if (cores_[c].generation != generation || !cores_[c].planner) return;
-        std::vector<scaler::Listed> all;
+        std::vector<scaler::ListedInstance> all;
         for (auto& [id, m] : machines_) {
             const bool listed =
                 m.goneAt < 0 ? m.upAt <= now_ : now_ < m.goneAt + millis(m.draining ? 0 : 2000);
@@ -169,7 +170,7 @@
                 all.push_back({id, m.service->name, "x:" + id, "a", "w1", m.service->slots, m.draining});
         }
         at(below(listLag_.inMicros()), [this, c, generation, all] {
-            toPlanner(c, generation, [all](scaler::Planner& p, Instant now) { p.listed(now, all); });
+            toPlanner(c, generation, [all](scaler::Planner& p, Instant now) { p.onInstanceList(now, all); });
         });
         at(millis(600), [this, c, generation] { list(c, generation); });
     }
@@ -216,7 +217,7 @@
         while (auto o = core.planner->next()) {
             if (auto* s = std::get_if<scaler::StartCall>(&*o)) startInstance(c, core.generation, *s);
             if (auto* s = std::get_if<scaler::StopCall>(&*o)) stopInstance(c, core.generation, s->instance);
-            if (auto* t = std::get_if<scaler::Tell>(&*o)) {
+            if (auto* t = std::get_if<scaler::GrantsMessage>(&*o)) {
                 const size_t s = static_cast<size_t>(std::stoi(t->to));
                 bool gives = false;
                 for (const auto& g : t->grants.grants) gives |= g.slots > 0;
@@ -259,8 +260,8 @@
         std::vector<scaler::FunctionSpec> specs;
         for (const Service& s : kServices)
             specs.push_back({s.name, 128, Span::millis(s.boot), s.slots, Span::millis(s.target)});
-        core.planner->configured(now(), specs);
-        core.planner->workers(now(), {{"w1", "a", 9000, 9000, false}, {"w2", "b", 9000, 9000, false}});
+        core.planner->onConfiguration(now(), specs);
+        core.planner->onWorkerList(now(), {{"w1", "a", 9000, 9000, false}, {"w2", "b", 9000, 9000, false}});
         for (auto& [s, epoch] : core.guests) link(c, s);
         list(c, generation);
         pull(c);
@@ -274,7 +275,7 @@
         fence_ = ++term_, cores_[c].term = term_;
         note("", "core %zu renewed, term %lu", c, term_);
         for (Account& a : accounts_) a.synced = false;
-        cores_[c].planner->renewed(now(), term_);
+        cores_[c].planner->onTermRenewed(now(), term_);
         pull(c);
         tellDuty();
     }
@@ -314,7 +315,7 @@
         if (!core.planner) return;
         const scaler::SenderId id = std::to_string(s);
         note("", "core %zu: sender %zu linked", c, s);
-        core.planner->linked(now(), id, s % 2 ? "a" : "b");
+        core.planner->onSenderLinked(now(), id, s % 2 ? "a" : "b");
         if (holds(c)) {
             answered(s);
             accounts_[s].linked = true, accounts_[s].synced = false;
@@ -322,10 +323,10 @@
         }
         if (plan_.defect == Defect::hastyHolder) {
             scaler::Report r;
-            r.term = core.term, r.whole = true;
+            r.term = core.term, r.isFull = true;
             if (holds(c)) accounts_[s].synced = true;
             core.knows.insert(s);
-            core.planner->reported(now(), id, r);
+            core.planner->onReport(now(), id, r);
         }
         pull(c);
     }
@@ -335,7 +336,7 @@
         note("", "core %zu: sender %zu gone%s", c, s, closed ? ", closed" : "");
         if (!core.planner) return;
         const bool told = closed || plan_.defect == Defect::silentIsEnded;
-        core.planner->unlinked(now(), std::to_string(s), told);
+        core.planner->onSenderUnlinked(now(), std::to_string(s), told);
         if (holds(c) && (accounts_[s].linked || closed)) {
             accounts_[s].linked = accounts_[s].synced = false;
             const int64_t until = now_ + (closed ? millis(300) : millis(5000));
@@ -603,18 +604,18 @@
         if (plan_.defect == Defect::givesBackEarly)
             for (auto& h : r.held) h.slots = x.may[h.instance], h.busy = std::min(h.busy, h.slots);
         for (const auto& h : r.held)
-            note(h.instance, "sender %zu reports%s %u held %u busy, term %lu", s, r.whole ? " whole" : "",
+            note(h.instance, "sender %zu reports%s %u held %u busy, term %lu", s, r.isFull ? " whole" : "",
                  h.slots, h.busy, r.term);
         sendUp(s, c, [this, s, c, r = std::move(r)](Core& core) {
             if (!core.planner) return;
             for (const auto& h : r.held)
                 note(h.instance, "core %zu hears of %zu%s %u held %u busy, term %lu", c, s,
-                     r.whole ? " whole" : "", h.slots, h.busy, r.term);
-            if (r.whole) note("", "core %zu hears whole of %zu term %lu", c, s, r.term);
-            core.planner->reported(now(), std::to_string(s), r);
-            if (r.whole && r.term == core.term) core.knows.insert(s);
+                     r.isFull ? " whole" : "", h.slots, h.busy, r.term);
+            if (r.isFull) note("", "core %zu hears whole of %zu term %lu", c, s, r.term);
+            core.planner->onReport(now(), std::to_string(s), r);
+            if (r.isFull && r.term == core.term) core.knows.insert(s);
             if (holds(c) && r.term == term_) answered(s);
-            if (holds(c) && r.term == term_ && r.whole && !accounts_[s].synced) synced(s);
+            if (holds(c) && r.term == term_ && r.isFull && !accounts_[s].synced) synced(s);
             pull(c);
         });
     }
--- a/system/scaler/model_test.cpp
+++ b/system/scaler/model_test.cpp
@@ -27,17 +27,17 @@
     std::vector<FunctionSpec> specs;
     for (size_t k = 0; k < functions; ++k)
         specs.push_back({"function" + std::to_string(k), 128, Span::millis(900), 4, Span::millis(1500)});
-    p.configured(now, specs);
+    p.onConfiguration(now, specs);
     std::vector<Worker> workers;
     for (int k = 0; k < 64; ++k) workers.push_back({"w" + std::to_string(k), "z", 1 << 20, 1 << 20, false});
-    p.workers(now, workers);
-    p.listed(now, {});
+    p.onWorkerList(now, workers);
+    p.onInstanceList(now, {});
     struct Agent {
-        std::map<std::string, Held> held, changed;
+        std::map<std::string, HeldSlots> held, changed;
         bool first = true;
     };
     std::vector<Agent> agents(senders);
-    for (size_t s = 0; s < senders; ++s) p.linked(now, std::to_string(s), "z");
+    for (size_t s = 0; s < senders; ++s) p.onSenderLinked(now, std::to_string(s), "z");
     size_t reports = 0, words = 0, bytes = 0, made = 0;
     double inReports = 0, inTicks = 0, most = 0;
     size_t ticks = 0;
@@ -45,8 +45,8 @@
         while (auto o = p.next()) {
             if (auto* s = std::get_if<StartCall>(&*o)) {
                 const std::string id = "instance" + std::to_string(++made);
-                p.started(now, s->nonce, id, "10.0.0.1:8080");
-            } else if (auto* t = std::get_if<Tell>(&*o)) {
+                p.onStarted(now, s->nonce, id, "10.0.0.1:8080");
+            } else if (auto* t = std::get_if<GrantsMessage>(&*o)) {
                 msgpack::sbuffer out;
                 msgpack::pack(out, t->grants);
                 words += count, bytes += count ? out.size() : 0;
@@ -71,7 +71,7 @@
         for (size_t s = 0; s < senders; ++s) {
             Agent& a = agents[s];
             Report r;
-            r.term = 1, r.whole = a.first, r.spanMs = 100;
+            r.term = 1, r.isFull = a.first, r.intervalMs = 100;
             a.first = false;
             const double calls = callsS / 10;
             size_t n = static_cast<size_t>(calls);
@@ -82,7 +82,7 @@
             for (auto& [id, h] : a.changed) r.held.push_back(h);
             a.changed.clear();
             before = processorS();
-            p.reported(now, std::to_string(s), r);
+            p.onReport(now, std::to_string(s), r);
             pull(count);
             if (count) inReports += processorS() - before, ++reports;
         }
--- a/system/scaler/planner.cpp
+++ b/system/scaler/planner.cpp
@@ -20,63 +20,65 @@
 
 // In the order in which they came to be known. By address the order, and with it what is decided, would
 // differ from one run of a process to the next, and no schedule that a search finds could be played again.
-struct Elder {
+struct CreationOrder {
     template <class T>
     bool operator()(const T* a, const T* b) const {
-        return a->number < b->number;
+        return a->creationNumber < b->creationNumber;
     }
 };
 
 struct Sender {
     SenderId id;
-    uint64_t number = 0;
+    uint64_t creationNumber = 0;
     std::string zone;
-    bool linked = false, synced = false, leaving = false;
-    Instant freeAt = Instant::never();      // silent: when its slots go to others
-    Instant unanswered = Instant::never();  // since when a word of ours has had no word of its
-    bool late = false;                      // it says nothing though it was told something
-    std::set<Instance*, Elder> holds;
-    std::set<Service*, Elder> uses;
-    std::vector<Instance*> due;  // whose number it must be told
-    bool answers() const { return linked && synced && !late; }
+    bool isLinked = false, isSynced = false, isLeaving = false;
+    Instant slotsFreeAt = Instant::never();      // silent: when its slots go to others
+    Instant unansweredSince = Instant::never();  // since when a word of ours has had no word of its
+    bool isUnresponsive = false;                 // it says nothing though it was told something
+    std::set<Instance*, CreationOrder> heldInstances;
+    std::set<Service*, CreationOrder> services;
+    std::vector<Instance*> grantsDue;  // whose number it must be told
+    bool isResponsive() const { return isLinked && isSynced && !isUnresponsive; }
 };
 
 // Demand of one sender for one service.
-struct Use {
-    Sender* who = nullptr;
+struct SenderDemand {
+    Sender* sender = nullptr;
     uint32_t waiting = 0, busy = 0;
     double rate = 0;  // calls a second, tau of Tuning::fastTau
-    Instant rateAt;
-    Instant granted = Instant::longAgo();
-    uint32_t upCover = 0, bootCover = 0, told = 0;  // scratch of one pass
+    Instant rateUpdatedAt;
+    Instant lastGrantedAt = Instant::longAgo();
+    uint32_t upCover = 0, bootCover = 0, granted = 0;  // scratch of one pass
 };
 
 // What one sender may use of one instance. Numbers are absolute and only one direction of change is open at
 // a time: a Held that equals the told number then proves that the sender has read it. Else an old Held of
 // the same number (told 0, 2, 0: the first 0) would free slots that are in use.
-struct Share {
-    Sender* who = nullptr;
-    Use* use = nullptr;
-    uint32_t told = 0, held = 0, busy = 0;
-    bool asked = false, rising = false, due = false;
-    Instant askedAt, toldAt, idleSince;
-    uint32_t reserved() const {
-#ifdef CREST_TWIN_FREE_AT_TELL
-        return told;  // the mistake that the tests' search must find
+struct Allocation {
+    Sender* sender = nullptr;
+    SenderDemand* demand = nullptr;
+    uint32_t granted = 0, held = 0, busy = 0;
+    bool isUnconfirmed = false, isIncrease = false, isGrantDue = false;
+    Instant changedAt, sentAt, idleSince;
+    uint32_t reservedSlots() const {
+#ifdef SCALER_DEFECT_FREE_AT_GRANT
+        return granted;  // the mistake that the tests' search must find
 #else
-        return std::max(told, held);
+        return std::max(granted, held);
 #endif
     }
     // Asked back and, as far as known, not in use.
-    uint32_t lendable() const {
-        uint32_t keeps = std::max(told, busy);
-        return asked && !rising && held > keeps ? held - keeps : 0;
+    uint32_t reassignableSlots() const {
+        uint32_t keeps = std::max(granted, busy);
+        return isUnconfirmed && !isIncrease && held > keeps ? held - keeps : 0;
+    }
+    bool canIncrease() const { return !isUnconfirmed || isIncrease; }
+    bool canDecrease() const {
+        return (!isUnconfirmed || !isIncrease) && sender->isLinked && sender->isSynced;
     }
-    bool canRaise() const { return !asked || rising; }
-    bool canLower() const { return (!asked || !rising) && who->linked && who->synced; }
 };
 
-struct Ghost {
+struct SlotReservation {
     uint32_t slots;
     Instant until;
 };
@@ -85,143 +87,145 @@
 
 struct Instance {
     std::string id, address, zone, worker;
-    uint64_t number = 0;
+    uint64_t creationNumber = 0;
     Service* service = nullptr;
     Phase phase = Phase::booting;
     uint32_t slots = 1;
-    Instant startedAt, goneAt, stopAt;
-    Instant upAt;  // since when it is known to be up; its own id is on the list soon after
-    bool listedOnce = false, stopSent = false;
-    int missed = 0;
-    std::vector<Share> shares;
-    std::vector<Ghost> ghosts;  // of ended senders
-    Sender* voter = nullptr;
-    Instant votedAt = Instant::longAgo();
-
-    bool usable() const { return phase == Phase::booting || phase == Phase::up; }
-    uint32_t used() const {
+    Instant startedAt, goneAt, nextStopAt;
+    Instant upSince;  // since when it is known to be up; its own id is on the list soon after
+    bool wasListed = false, isStopSent = false;
+    int missedLists = 0;
+    std::vector<Allocation> allocations;
+    std::vector<SlotReservation> reservations;  // of ended senders
+    Sender* suspectedBy = nullptr;
+    Instant suspectedAt = Instant::longAgo();
+
+    bool isUsable() const { return phase == Phase::booting || phase == Phase::up; }
+    uint32_t reservedSlots() const {
         uint32_t n = 0;
-        for (const auto& s : shares) n += s.reserved();
-        for (const auto& g : ghosts) n += g.slots;
+        for (const auto& s : allocations) n += s.reservedSlots();
+        for (const auto& g : reservations) n += g.slots;
         return n;
     }
-    uint32_t busy() const {
+    uint32_t busySlots() const {
         uint32_t n = 0;
-        for (const auto& s : shares) n += s.busy;
+        for (const auto& s : allocations) n += s.busy;
         return n;
     }
-    uint32_t spare() const {
-        uint32_t n = used();
-        return usable() && n < slots ? slots - n : 0;
+    uint32_t freeSlots() const {
+        uint32_t n = reservedSlots();
+        return isUsable() && n < slots ? slots - n : 0;
     }
-    Share* share(const Sender* who) {
-        for (auto& s : shares)
-            if (s.who == who) return &s;
+    Allocation* findAllocation(const Sender* sender) {
+        for (auto& s : allocations)
+            if (s.sender == sender) return &s;
         return nullptr;
     }
 };
 
 // Services that are configured alike, as far as known how long their calls take.
-struct Group {
-    double calls = 0, workS = 0;
+struct ServiceGroup {
+    double callWeight = 0, meanCallSeconds = 0;
 };
 
 struct Service {
     FunctionSpec spec;
-    uint64_t number = 0;
-    Group* group = nullptr;  // set by its first call
-    double calls = 0;        // that workS rests on
-    bool known = false;      // a configuration in force names it
+    uint64_t creationNumber = 0;
+    ServiceGroup* group = nullptr;  // set by its first call
+    double callWeight = 0;          // that workS rests on
+    bool isConfigured = false;      // a configuration in force names it
     std::vector<Instance*> instances;
-    std::map<Sender*, Use, Elder> uses;
-    uint32_t pending = 0;  // starts without an answer
+    std::map<Sender*, SenderDemand, CreationOrder> demands;
+    uint32_t pendingStartCount = 0;  // starts without an answer
     uint32_t waiting = 0, busy = 0;
-    double shortRate = 0, fast = 0, slow = 0, longRate = 0, workS = 0, peakBusy = 0;
-    Instant rateAt, peakAt;
-    Instant lastCall = Instant::longAgo(), blockedUntil = Instant::longAgo();
+    double shortRate = 0, fastRate = 0, slowRate = 0, longRate = 0, meanCallSeconds = 0, peakBusy = 0;
+    Instant rateUpdatedAt, peakUpdatedAt;
+    Instant lastCallAt = Instant::longAgo(), startsBlockedUntil = Instant::longAgo();
     Instant surplusSince = Instant::never();
-    Instant warmUntil = Instant::longAgo();  // one is kept till then though nobody has called yet
-    bool dirty = false, refill = false;      // refill: it lost instances, the wanted number is due at once
+    Instant warmUntil = Instant::longAgo();     // one is kept till then though nobody has called yet
+    bool isDirty = false, needsRefill = false;  // refill: it lost instances, the wanted number is due at once
 };
 
-struct Start {
+struct PendingStart {
     Service* service = nullptr;
     std::string worker;
     Instant at, retryAt = Instant::never();
-    int tries = 0;
-    bool counted = true;  // among the service's pending
+    int attempts = 0;
+    bool isCounted = true;  // among the service's pending
 };
 
-struct Node {
-    Worker seen;
+struct WorkerState {
+    Worker reported;
     Instant fullUntil = Instant::longAgo();
-    std::vector<std::pair<Instant, int>> taken;  // MB of starts that the list does not show yet
-    int missed = 0;
-    int free() const {
-        int mb = seen.freeMb;
-        for (const auto& t : taken) mb -= t.second;
+    std::vector<std::pair<Instant, int>> reservedMemory;  // MB of starts that the list does not show yet
+    int missedLists = 0;
+    int freeMemoryMb() const {
+        int mb = reported.freeMb;
+        for (const auto& t : reservedMemory) mb -= t.second;
         return mb;
     }
 };
 
-double decay(Instant from, Instant to, double tau) {
+double decayFactor(Instant from, Instant to, double tau) {
     double dt = (to - from).inSeconds();
     return dt <= 0 ? 1 : std::exp(-dt / tau);
 }
 
 // What n calls spread over the last span add to a rate that forgets with tau.
-double gain(double n, double span, double tau) {
+double rateGain(double n, double span, double tau) {
     return span < 0.05 * tau ? n / tau : n * (1 - std::exp(-span / tau)) / span;
 }
 
 }  // namespace
 
 struct Planner::State {
-    State(Instant now, uint64_t t, uint32_t chance, double duty, Span lag)
-        : born(now), term(t), random(chance), listLag(lag), dutyPerS(std::max(duty, 0.1)), lastTick(now) {
-        tokens = depth();
-        tokensAt = now;
-        prefix = std::to_string(term) + "-" + std::to_string(random()) + "-";
+    State(Instant now, uint64_t t, uint32_t randomSeed, double duty, Span lag)
+        : createdAt(now), term(t), random(randomSeed), listLag(lag), maxCallsPerSecond(std::max(duty, 0.1)),
+          lastTick(now) {
+        tokens = bucketDepth();
+        tokensUpdatedAt = now;
+        noncePrefix = std::to_string(term) + "-" + std::to_string(random()) + "-";
     }
 
     Tuning tuning;
-    Instant born;
+    Instant createdAt;
     uint64_t term;
     std::mt19937 random;
     Span listLag;
-    double dutyPerS;
-    Instant lastTick, tokensAt;
+    double maxCallsPerSecond;
+    Instant lastTick, tokensUpdatedAt;
     double tokens = 0;
-    std::string prefix;
-    uint64_t nonces = 0, numbers = 0;
-    Instant ghostAt = Instant::never();  // when the first slots of ended senders come free
-    Instant passAt;                      // of the newest event
-    Instant behindAt = Instant::longAgo();
-    bool passDue = false;
-    bool ready = false, starved = false, configuredOnce = false, listedYet = false;
+    std::string noncePrefix;
+    uint64_t nonceCount = 0, lastCreationNumber = 0;
+    Instant nextReservationEnd = Instant::never();  // when the first slots of ended senders come free
+    Instant passTime;                               // of the newest event
+    Instant backlogReportedAt = Instant::longAgo();
+    bool isPassDue = false;
+    bool isReady = false, isOutOfTokens = false, hasConfiguration = false, hasInstanceList = false;
     std::unordered_map<std::string, std::unique_ptr<Service>> services;
     std::unordered_map<std::string, std::unique_ptr<Instance>> instances;
     std::unordered_map<SenderId, std::unique_ptr<Sender>> senders;
-    std::unordered_map<std::string, Node> nodes;
-    std::unordered_map<std::string, Start> starts;  // by nonce
-    std::map<std::tuple<int, int64_t, int, int64_t>, Group> groups;
-    std::vector<Service*> dirty;
-    std::vector<Sender*> tellDue;
-    std::set<Instance*, Elder> closing;  // retiring, or stopping without an answer, or dropped and listed
-    std::deque<Output> out;
-    Counts counts;
+    std::unordered_map<std::string, WorkerState> workers;
+    std::unordered_map<std::string, PendingStart> pendingStarts;  // by nonce
+    std::map<std::tuple<int, int64_t, int, int64_t>, ServiceGroup> groups;
+    std::vector<Service*> dirtyServices;
+    std::vector<Sender*> sendersWithGrants;
+    std::set<Instance*, CreationOrder>
+        closing;  // retiring, or stopping without an answer, or dropped and listed
+    std::deque<Output> outputs;
+    Counters counters;
 
     // --- the platform's rate -------------------------------------------------------------------------------
 
-    double depth() const { return std::max(1.0, tuning.dutyDepth * dutyPerS); }
+    double bucketDepth() const { return std::max(1.0, tuning.bucketDepthFactor * maxCallsPerSecond); }
     // Takes one start or stop. What is not urgent leaves a part for requests that wait.
     bool takeToken(Instant now, bool urgent) {
-        double dt = std::max(0.0, (now - tokensAt).inSeconds());
-        tokens = std::min(depth(), tokens + dt * tuning.dutyRate * dutyPerS);
-        tokensAt = std::max(tokensAt, now);
-        double least = urgent || depth() < 4 ? 0 : tuning.urgentPart * depth();
+        double dt = std::max(0.0, (now - tokensUpdatedAt).inSeconds());
+        tokens = std::min(bucketDepth(), tokens + dt * tuning.bucketRateFactor * maxCallsPerSecond);
+        tokensUpdatedAt = std::max(tokensUpdatedAt, now);
+        double least = urgent || bucketDepth() < 4 ? 0 : tuning.urgentReserveFraction * bucketDepth();
         if (tokens - 1 < least) {
-            starved = true;
+            isOutOfTokens = true;
             return false;
         }
         tokens -= 1;
@@ -230,66 +234,67 @@
 
     // --- tables --------------------------------------------------------------------------------------------
 
-    void mark(Service* s) {
-        if (s->dirty) return;
-        s->dirty = true;
-        dirty.push_back(s);
+    void markDirty(Service* s) {
+        if (s->isDirty) return;
+        s->isDirty = true;
+        dirtyServices.push_back(s);
     }
-    Service* serviceOf(Instant now, const std::string& name) {
+    Service* findOrAddService(Instant now, const std::string& name) {
         auto& p = services[name];
         if (!p) {
             p = std::make_unique<Service>();
-            p->number = ++numbers;
+            p->creationNumber = ++lastCreationNumber;
             p->spec.name = name;
-            p->spec.boot = Span::seconds(1);
-            p->spec.target = Span::seconds(1);
-            p->rateAt = p->peakAt = now;
+            p->spec.bootTime = Span::seconds(1);
+            p->spec.targetLatency = Span::seconds(1);
+            p->rateUpdatedAt = p->peakUpdatedAt = now;
         }
         return p.get();
     }
-    Use* useOf(Instant now, Service* s, Sender* who) {
-        auto [it, fresh] = s->uses.try_emplace(who);
+    SenderDemand* findOrAddDemand(Instant now, Service* s, Sender* sender) {
+        auto [it, fresh] = s->demands.try_emplace(sender);
         if (fresh) {
-            it->second.who = who;
-            it->second.rateAt = now;
-            who->uses.insert(s);
+            it->second.sender = sender;
+            it->second.rateUpdatedAt = now;
+            sender->services.insert(s);
         }
         return &it->second;
     }
-    Share* shareOf(Instant now, Instance* i, Sender* who) {
-        if (Share* s = i->share(who)) return s;
-        Share s;
-        s.who = who;
-        s.use = useOf(now, i->service, who);
+    Allocation* findOrAddAllocation(Instant now, Instance* i, Sender* sender) {
+        if (Allocation* s = i->findAllocation(sender)) return s;
+        Allocation s;
+        s.sender = sender;
+        s.demand = findOrAddDemand(now, i->service, sender);
         s.idleSince = now;
-        i->shares.push_back(s);
-        who->holds.insert(i);
-        return &i->shares.back();
+        i->allocations.push_back(s);
+        sender->heldInstances.insert(i);
+        return &i->allocations.back();
     }
-    Instance* adopt(Instant now, const std::string& id, const std::string& service,
-                    const std::string& address) {
+    Instance* addInstance(Instant now, const std::string& id, const std::string& service,
+                          const std::string& address) {
         auto& p = instances[id];
         p = std::make_unique<Instance>();
-        p->number = ++numbers;
+        p->creationNumber = ++lastCreationNumber;
         p->id = id;
         p->address = address;
-        p->service = serviceOf(now, service);
+        p->service = findOrAddService(now, service);
         p->slots = static_cast<uint32_t>(std::max(1, p->service->spec.maxConcurrency));
         p->startedAt = now;
         p->service->instances.push_back(p.get());
-        p->service->lastCall = std::max(p->service->lastCall, now);  // idle from now, never stopped at once
+        p->service->lastCallAt =
+            std::max(p->service->lastCallAt, now);  // idle from now, never stopped at once
         return p.get();
     }
-    void forget(Instance* i) {
-        for (auto& s : i->shares) {
-            s.who->holds.erase(i);
-            std::erase(s.who->due, i);
+    void removeInstance(Instance* i) {
+        for (auto& s : i->allocations) {
+            s.sender->heldInstances.erase(i);
+            std::erase(s.sender->grantsDue, i);
         }
         std::erase(i->service->instances, i);
         closing.erase(i);
         instances.erase(i->id);
     }
-    void setUses(Use& u, Service* s, uint32_t waiting, uint32_t busy) {
+    void setDemand(SenderDemand& u, Service* s, uint32_t waiting, uint32_t busy) {
         s->waiting = s->waiting - u.waiting + waiting;
         s->busy = s->busy - u.busy + busy;
         u.waiting = waiting;
@@ -298,187 +303,192 @@
 
     // --- telling -------------------------------------------------------------------------------------------
 
-    void due(Instance* i, Share& s) {
-        if (s.due || !s.who->linked || !s.who->synced) return;
-        s.due = true;
-        if (s.who->due.empty()) tellDue.push_back(s.who);
-        s.who->due.push_back(i);
+    void queueGrant(Instance* i, Allocation& s) {
+        if (s.isGrantDue || !s.sender->isLinked || !s.sender->isSynced) return;
+        s.isGrantDue = true;
+        if (s.sender->grantsDue.empty()) sendersWithGrants.push_back(s.sender);
+        s.sender->grantsDue.push_back(i);
     }
-    void setTold(Instant now, Instance* i, Share& s, uint32_t n) {
-        if (n == s.told && !(n < s.held && !s.asked)) return;
-        s.rising = n > s.told;
-        s.told = n;
-        s.asked = true;
-        s.askedAt = s.toldAt = now;
-        due(i, s);
+    void setGranted(Instant now, Instance* i, Allocation& s, uint32_t n) {
+        if (n == s.granted && !(n < s.held && !s.isUnconfirmed)) return;
+        s.isIncrease = n > s.granted;
+        s.granted = n;
+        s.isUnconfirmed = true;
+        s.changedAt = s.sentAt = now;
+        queueGrant(i, s);
     }
     // Ending instances: told at once whatever is still open, since nothing of it is granted again.
-    void takeAll(Instant now, Instance* i, bool evenOpen) {
-        for (auto& s : i->shares)
-            if (s.reserved() > 0 && s.told > 0 && (evenOpen || s.canLower())) setTold(now, i, s, 0);
-    }
-    void flush(Instant now) {
-        for (Sender* who : tellDue) {
-            if (who->due.empty()) continue;
-            Tell tell;
-            tell.to = who->id;
-            tell.grants.term = term;
-            for (Instance* i : who->due) {
-                Share* s = i->share(who);
+    void revokeAll(Instant now, Instance* i, bool includeUnconfirmed) {
+        for (auto& s : i->allocations)
+            if (s.reservedSlots() > 0 && s.granted > 0 && (includeUnconfirmed || s.canDecrease()))
+                setGranted(now, i, s, 0);
+    }
+    void sendGrants(Instant now) {
+        for (Sender* sender : sendersWithGrants) {
+            if (sender->grantsDue.empty()) continue;
+            GrantsMessage message;
+            message.to = sender->id;
+            message.grants.term = term;
+            for (Instance* i : sender->grantsDue) {
+                Allocation* s = i->findAllocation(sender);
                 if (!s) continue;
-                s->due = false;
+                s->isGrantDue = false;
                 Grant g;
                 g.instance = i->id;
-                g.slots = s->told;
-                g.fleetSlots = have(i->service).slots;
-                g.ends = !i->usable();
+                g.slots = s->granted;
+                g.fleetSlots = usableCapacity(i->service).slots;
+                g.isEnding = !i->isUsable();
                 // What is taken back its sender knows by the id.
-                if (s->told > 0) g.service = i->service->spec.name, g.address = i->address, g.zone = i->zone;
+                if (s->granted > 0)
+                    g.service = i->service->spec.name, g.address = i->address, g.zone = i->zone;
                 if (i->phase == Phase::booting) {
-                    int64_t us = (i->startedAt + i->service->spec.boot - now).inMicros();
+                    int64_t us = (i->startedAt + i->service->spec.bootTime - now).inMicros();
                     g.upInMs = static_cast<uint32_t>(std::max<int64_t>(1, us / 1000));
                 }
-                tell.grants.grants.push_back(std::move(g));
+                message.grants.grants.push_back(std::move(g));
             }
-            who->due.clear();
-            who->unanswered = std::min(who->unanswered, now);
-            ++counts.tells;
-            out.emplace_back(std::move(tell));
+            sender->grantsDue.clear();
+            sender->unansweredSince = std::min(sender->unansweredSince, now);
+            ++counters.grantMessages;
+            outputs.emplace_back(std::move(message));
         }
-        tellDue.clear();
+        sendersWithGrants.clear();
     }
     // What was to go over a link that is no more must not go over the next one: its numbers are old.
-    void purge(Sender* who) {
-        std::erase_if(out, [&](const Output& o) {
-            const auto* t = std::get_if<Tell>(&o);
-            return t && t->to == who->id;
+    void discardUnsent(Sender* sender) {
+        std::erase_if(outputs, [&](const Output& o) {
+            const auto* t = std::get_if<GrantsMessage>(&o);
+            return t && t->to == sender->id;
         });
-        for (Instance* i : who->due)
-            if (Share* s = i->share(who)) s->due = false;
-        who->due.clear();
-        std::erase(tellDue, who);
+        for (Instance* i : sender->grantsDue)
+            if (Allocation* s = i->findAllocation(sender)) s->isGrantDue = false;
+        sender->grantsDue.clear();
+        std::erase(sendersWithGrants, sender);
     }
 
     // --- life of instances ---------------------------------------------------------------------------------
 
-    void cameUp(Instant now, Instance* i) {
+    void markUp(Instant now, Instance* i) {
         if (i->phase != Phase::booting) return;
         i->phase = Phase::up;
-        i->upAt = now;
-        mark(i->service);
+        i->upSince = now;
+        markDirty(i->service);
     }
-    void drain(Instant now, Instance* i) {
+    void markDraining(Instant now, Instance* i) {
         if (i->phase == Phase::draining || i->phase == Phase::gone) return;
         i->phase = Phase::draining;
         closing.erase(i);
-        takeAll(now, i, true);
-        i->service->refill = true;
-        ++counts.drained;
-        mark(i->service);
+        revokeAll(now, i, true);
+        i->service->needsRefill = true;
+        ++counters.drained;
+        markDirty(i->service);
     }
-    void drop(Instant now, Instance* i, bool lost) {
+    void markGone(Instant now, Instance* i, bool lost) {
         if (i->phase == Phase::gone) return;
         i->phase = Phase::gone;
         i->goneAt = now;
         closing.erase(i);
-        takeAll(now, i, true);
+        revokeAll(now, i, true);
         if (lost) {
-            ++counts.lost;
-            i->service->refill = true;
+            ++counters.lost;
+            i->service->needsRefill = true;
         }
-        mark(i->service);
+        markDirty(i->service);
     }
-    void askStop(Instant now, Instance* i) {
-        if (now < i->stopAt) return;
+    void requestStop(Instant now, Instance* i) {
+        if (now < i->nextStopAt) return;
         if (!takeToken(now, false)) return;
-        i->stopSent = true;
-        i->stopAt = now + Span::seconds(5);  // no word of stopped(): again
-        ++counts.stops;
-        out.emplace_back(StopCall{i->id});
+        i->isStopSent = true;
+        i->nextStopAt = now + Span::seconds(5);  // no word of stopped(): again
+        ++counters.stops;
+        outputs.emplace_back(StopCall{i->id});
     }
     // A slot is in use as long as its sender has not said otherwise: only then the stop.
-    void finishClosing(Instant now) {
+    void advanceClosing(Instant now) {
         for (auto it = closing.begin(); it != closing.end();) {
             Instance* i = *it++;
             if (i->phase == Phase::retiring) {
-                takeAll(now, i, false);
+                revokeAll(now, i, false);
                 // Not where a slot is only lent: its sender may be cut off from us alone and at work there.
-                auto open = [](const Share& s) { return s.asked && !s.rising; };
-                if (i->used() > 0 || std::any_of(i->shares.begin(), i->shares.end(), open)) continue;
+                auto open = [](const Allocation& s) { return s.isUnconfirmed && !s.isIncrease; };
+                if (i->reservedSlots() > 0 || std::any_of(i->allocations.begin(), i->allocations.end(), open))
+                    continue;
                 i->phase = Phase::stopping;
-                i->stopAt = now;
+                i->nextStopAt = now;
             }
-            if (i->phase == Phase::stopping || i->phase == Phase::gone) askStop(now, i);
+            if (i->phase == Phase::stopping || i->phase == Phase::gone) requestStop(now, i);
         }
     }
     void retire(Instant now, Instance* i) {
         i->phase = Phase::retiring;
         closing.insert(i);
-        takeAll(now, i, false);
+        revokeAll(now, i, false);
     }
 
     // --- senders -------------------------------------------------------------------------------------------
 
-    void endSender(Instant now, Sender* who, Span ghostFor) {
-        purge(who);
-        for (Instance* i : who->holds) {
-            Share* s = i->share(who);
-            if (s && s->reserved() > 0 && ghostFor > Span()) {
-                i->ghosts.push_back({s->reserved(), now + ghostFor});
-                ghostAt = std::min(ghostAt, now + ghostFor);
+    void removeSender(Instant now, Sender* sender, Span reservationTime) {
+        discardUnsent(sender);
+        for (Instance* i : sender->heldInstances) {
+            Allocation* s = i->findAllocation(sender);
+            if (s && s->reservedSlots() > 0 && reservationTime > Span()) {
+                i->reservations.push_back({s->reservedSlots(), now + reservationTime});
+                nextReservationEnd = std::min(nextReservationEnd, now + reservationTime);
             }
-            if (i->voter == who) i->voter = nullptr;
-            std::erase_if(i->shares, [&](const Share& x) { return x.who == who; });
-            mark(i->service);
+            if (i->suspectedBy == sender) i->suspectedBy = nullptr;
+            std::erase_if(i->allocations, [&](const Allocation& x) { return x.sender == sender; });
+            markDirty(i->service);
         }
-        for (Service* s : who->uses) {
-            setUses(s->uses[who], s, 0, 0);
-            s->uses.erase(who);
-            mark(s);
+        for (Service* s : sender->services) {
+            setDemand(s->demands[sender], s, 0, 0);
+            s->demands.erase(sender);
+            markDirty(s);
         }
         for (auto& [id, i] : instances)
-            if (i->voter == who) i->voter = nullptr;
-        senders.erase(SenderId(who->id));
+            if (i->suspectedBy == sender) i->suspectedBy = nullptr;
+        senders.erase(SenderId(sender->id));
     }
 
-    void heldNow(Instant now, Instance* i, Share& s, uint32_t slots, uint32_t busy, bool sync) {
-        if (busy > 0 && i->phase == Phase::booting) cameUp(now, i);
+    void applyHeld(Instant now, Instance* i, Allocation& s, uint32_t slots, uint32_t busy,
+                   bool isFirstFullReport) {
+        if (busy > 0 && i->phase == Phase::booting) markUp(now, i);
         uint32_t idle = slots > busy ? slots - busy : 0, idleWas = s.held > s.busy ? s.held - s.busy : 0;
         if (idle > 0 && (idleWas == 0 || busy != s.busy)) s.idleSince = now;
-        bool fewer = slots < s.reserved();
+        bool fewer = slots < s.reservedSlots();
         s.held = slots;
         s.busy = busy;
-        if (sync) {
-            s.told = slots;  // nothing that we said before is on its way any more
-            s.asked = false;
-        } else if (s.asked) {
-            if (s.held == s.told && !s.due)
-                s.asked = false;  // due: it has not been told yet, so proves nothing
-        } else if (s.held < s.told) {
-            s.told = s.held;  // given back unasked
+        if (isFirstFullReport) {
+            s.granted = slots;  // nothing that we said before is on its way any more
+            s.isUnconfirmed = false;
+        } else if (s.isUnconfirmed) {
+            if (s.held == s.granted && !s.isGrantDue)
+                s.isUnconfirmed = false;  // due: it has not been told yet, so proves nothing
+        } else if (s.held < s.granted) {
+            s.granted = s.held;  // given back unasked
         }
-        if (s.held > s.told && !s.asked) setTold(now, i, s, s.told);
-        if (!i->usable() && i->phase != Phase::retiring && s.told > 0) setTold(now, i, s, 0);
-        if (fewer || slots > 0) mark(i->service);
+        if (s.held > s.granted && !s.isUnconfirmed) setGranted(now, i, s, s.granted);
+        if (!i->isUsable() && i->phase != Phase::retiring && s.granted > 0) setGranted(now, i, s, 0);
+        if (fewer || slots > 0) markDirty(i->service);
     }
 
     // More is in use than there is: a holder before us, or we after 5 s of silence, gave it twice.
-    void askSurplus(Instant now, Instance* i) {
-        uint32_t used = i->used();
-        if (used <= i->slots || !i->usable() || !(i->listedOnce || i->service->known)) return;
+    void recallOvercommitted(Instant now, Instance* i) {
+        uint32_t used = i->reservedSlots();
+        if (used <= i->slots || !i->isUsable() || !(i->wasListed || i->service->isConfigured)) return;
         uint32_t promised = 0;
-        for (const auto& s : i->shares) promised += s.told;
+        for (const auto& s : i->allocations) promised += s.granted;
         if (promised <= i->slots) return;  // asked already
         uint32_t over = promised - i->slots;
-        ++counts.overheld;
-        std::vector<Share*> by;
-        for (auto& s : i->shares)
-            if (s.told > 0 && s.canLower()) by.push_back(&s);
-        std::sort(by.begin(), by.end(),
-                  [](Share* a, Share* b) { return int64_t(a->told) - a->busy > int64_t(b->told) - b->busy; });
-        for (Share* s : by) {
-            uint32_t n = std::min(over, s->told);
-            if (n > 0) setTold(now, i, *s, s->told - n);
+        ++counters.overcommitted;
+        std::vector<Allocation*> by;
+        for (auto& s : i->allocations)
+            if (s.granted > 0 && s.canDecrease()) by.push_back(&s);
+        std::sort(by.begin(), by.end(), [](Allocation* a, Allocation* b) {
+            return int64_t(a->granted) - a->busy > int64_t(b->granted) - b->busy;
+        });
+        for (Allocation* s : by) {
+            uint32_t n = std::min(over, s->granted);
+            if (n > 0) setGranted(now, i, *s, s->granted - n);
             over -= n;
         }
     }
@@ -488,153 +498,167 @@
     // it was asked for and not seen to use is taken as given back: the word waits in its socket, so it reads
     // that first when it wakes. Also catches one that is cut off from us alone: both may then use such a
     // slot, and the instance turns one of two calls away as not run. Harm: that call's further try.
-    void findLate(Instant now) {
+    void detectUnresponsiveSenders(Instant now) {
         // If it was we who slept or are behind, the answers lie in our sockets or our queue, unread.
-        bool slept = now - lastTick > tuning.tick * 3.0 || now < behindAt + tuning.lateAfter;
-        for (auto& [id, who] : senders) {
-            if (slept && who->unanswered != Instant::never()) who->unanswered = now;
-            if (!who->linked || !who->synced || now < who->unanswered + tuning.lateAfter) continue;
-            if (!who->late)
-                for (Service* s : who->uses) mark(s);
-            who->late = true;
-            for (Instance* i : who->holds) {
-                Share& s = *i->share(who.get());
-                if (!i->usable() || !s.lendable() || now < s.askedAt + tuning.lateAfter * 0.5) continue;
-                counts.lent += s.lendable();
-                s.held -= s.lendable();
-                mark(i->service);
+        bool slept =
+            now - lastTick > tuning.tickInterval * 3.0 || now < backlogReportedAt + tuning.unresponsiveAfter;
+        for (auto& [id, sender] : senders) {
+            if (slept && sender->unansweredSince != Instant::never()) sender->unansweredSince = now;
+            if (!sender->isLinked || !sender->isSynced ||
+                now < sender->unansweredSince + tuning.unresponsiveAfter)
+                continue;
+            if (!sender->isUnresponsive)
+                for (Service* s : sender->services) markDirty(s);
+            sender->isUnresponsive = true;
+            for (Instance* i : sender->heldInstances) {
+                Allocation& s = *i->findAllocation(sender.get());
+                if (!i->isUsable() || !s.reassignableSlots() ||
+                    now < s.changedAt + tuning.unresponsiveAfter * 0.5)
+                    continue;
+                counters.reassignedSlots += s.reassignableSlots();
+                s.held -= s.reassignableSlots();
+                markDirty(i->service);
             }
         }
     }
     // Slots that nobody can have now: of a silent sender all that are not lent.
-    uint32_t locked(const Service* s) const {
+    uint32_t unavailableSlots(const Service* s) const {
         uint32_t n = 0;
         for (const Instance* i : s->instances) {
-            if (!i->usable()) continue;
-            for (const auto& sh : i->shares)
-                if (!sh.who->answers()) n += sh.who->late ? std::min(sh.busy, sh.reserved()) : sh.reserved();
+            if (!i->isUsable()) continue;
+            for (const auto& sh : i->allocations)
+                if (!sh.sender->isResponsive())
+                    n += sh.sender->isUnresponsive ? std::min(sh.busy, sh.reservedSlots())
+                                                   : sh.reservedSlots();
         }
         return n;
     }
 
-    void arrived(Instant now, Service* s, Use& u, const Demand& d, double span) {
-        if (d.workUs > 0 && d.arrived > 0) {
-            double w = d.workUs / 1e6, n = std::min(d.arrived, 16u);
-            s->calls = std::min(s->calls + n, tuning.callsKept);
-            s->workS += std::min(1.0, n / s->calls) * (w - s->workS);
+    void recordArrivals(Instant now, Service* s, SenderDemand& u, const Demand& d, double span) {
+        if (d.meanCallUs > 0 && d.arrived > 0) {
+            double w = d.meanCallUs / 1e6, n = std::min(d.arrived, 16u);
+            s->callWeight = std::min(s->callWeight + n, tuning.maxCallWeight);
+            s->meanCallSeconds += std::min(1.0, n / s->callWeight) * (w - s->meanCallSeconds);
             if (!s->group) s->group = &groups[groupKey(s->spec)];
-            s->group->calls = std::min(s->group->calls + n, tuning.groupCalls);
-            s->group->workS += std::min(1.0, n / s->group->calls) * (w - s->group->workS);
+            s->group->callWeight = std::min(s->group->callWeight + n, tuning.maxGroupCallWeight);
+            s->group->meanCallSeconds +=
+                std::min(1.0, n / s->group->callWeight) * (w - s->group->meanCallSeconds);
         }
         if (d.arrived == 0) return;
-        settle(now, s);
-        s->shortRate += gain(d.arrived, span, shortTau(s));
-        s->fast += gain(d.arrived, span, tuning.fastTau);
-        s->slow += gain(d.arrived, span, tuning.slowTau);
-        s->longRate += gain(d.arrived, span, tuning.longTau);
-        u.rate = u.rate * decay(u.rateAt, now, tuning.fastTau) + gain(d.arrived, span, tuning.fastTau);
-        u.rateAt = now;
-        s->lastCall = now;
+        decayRates(now, s);
+        s->shortRate += rateGain(d.arrived, span, shortTau(s));
+        s->fastRate += rateGain(d.arrived, span, tuning.fastTau);
+        s->slowRate += rateGain(d.arrived, span, tuning.slowTau);
+        s->longRate += rateGain(d.arrived, span, tuning.longTau);
+        u.rate = u.rate * decayFactor(u.rateUpdatedAt, now, tuning.fastTau) +
+                 rateGain(d.arrived, span, tuning.fastTau);
+        u.rateUpdatedAt = now;
+        s->lastCallAt = now;
     }
     // A window shorter than the work would take one long call for many.
-    double shortTau(const Service* s) const { return std::max(tuning.shortTau, workOf(s)); }
+    double shortTau(const Service* s) const { return std::max(tuning.shortTau, estimateCallSeconds(s)); }
     // Of a service that was called a few times its fellows say more than it does: one long call in three made
     // a rare function look busy, and twice the instances were kept for it.
-    double workOf(const Service* s) const {
-        const Group* g = groupOf(s);
-        double like = g && g->calls >= 1 ? g->workS : tuning.workPrior * s->spec.target.inSeconds();
-        return (tuning.callsPrior * like + s->calls * s->workS) / (tuning.callsPrior + s->calls);
+    double estimateCallSeconds(const Service* s) const {
+        const ServiceGroup* g = findGroup(s);
+        double like = g && g->callWeight >= 1
+                          ? g->meanCallSeconds
+                          : tuning.priorCallToTargetRatio * s->spec.targetLatency.inSeconds();
+        return (tuning.priorCallWeight * like + s->callWeight * s->meanCallSeconds) /
+               (tuning.priorCallWeight + s->callWeight);
     }
     using GroupKey = std::tuple<int, int64_t, int, int64_t>;
     static GroupKey groupKey(const FunctionSpec& f) {
-        return {f.memoryMb, f.boot.inMicros(), f.maxConcurrency, f.target.inMicros()};
+        return {f.memoryMb, f.bootTime.inMicros(), f.maxConcurrency, f.targetLatency.inMicros()};
     }
-    const Group* groupOf(const Service* s) const {
+    const ServiceGroup* findGroup(const Service* s) const {
         if (s->group) return s->group;
         auto found = groups.find(groupKey(s->spec));
         return found != groups.end() ? &found->second : nullptr;
     }
-    void settle(Instant now, Service* s) {
-        if (now <= s->rateAt) return;
-        s->shortRate *= decay(s->rateAt, now, shortTau(s));
-        s->fast *= decay(s->rateAt, now, tuning.fastTau);
-        s->slow *= decay(s->rateAt, now, tuning.slowTau);
-        s->longRate *= decay(s->rateAt, now, tuning.longTau);
-        s->rateAt = now;
+    void decayRates(Instant now, Service* s) {
+        if (now <= s->rateUpdatedAt) return;
+        s->shortRate *= decayFactor(s->rateUpdatedAt, now, shortTau(s));
+        s->fastRate *= decayFactor(s->rateUpdatedAt, now, tuning.fastTau);
+        s->slowRate *= decayFactor(s->rateUpdatedAt, now, tuning.slowTau);
+        s->longRate *= decayFactor(s->rateUpdatedAt, now, tuning.longTau);
+        s->rateUpdatedAt = now;
     }
 
     // --- slots to those who wait ---------------------------------------------------------------------------
 
     // Up before own zone: a boot costs a second, another zone a millisecond or twenty. Then where few hold,
     // so an instance need not be asked back from many.
-    Instance* bestFree(Service* s, Sender* who, Phase phase) {
-        ++counts.searches;
+    Instance* chooseFreeInstance(Service* s, Sender* sender, Phase phase) {
+        ++counters.slotSearches;
         Instance* best = nullptr;
         int bestScore = 0;
         for (Instance* i : s->instances) {
-            if (i->phase != phase || i->spare() == 0 || i->voter) continue;
-            Share* own = i->share(who);
-            if (own && !own->canRaise()) continue;
-            int score = 1000 + (i->zone == who->zone ? 500 : 0) + (own ? 50 : 0);
-            score -= 10 * int(i->shares.size());
-            if (phase == Phase::up) score += int(std::min(i->spare(), 9u));
+            if (i->phase != phase || i->freeSlots() == 0 || i->suspectedBy) continue;
+            Allocation* own = i->findAllocation(sender);
+            if (own && !own->canIncrease()) continue;
+            int score = 1000 + (i->zone == sender->zone ? 500 : 0) + (own ? 50 : 0);
+            score -= 10 * int(i->allocations.size());
+            if (phase == Phase::up) score += int(std::min(i->freeSlots(), 9u));
             if (score > bestScore) best = i, bestScore = score;
         }
         return best;
     }
-    bool give(Instant now, Service* s, Use& u, Phase phase) {
-        Instance* i = bestFree(s, u.who, phase);
+    bool grantSlot(Instant now, Service* s, SenderDemand& u, Phase phase) {
+        Instance* i = chooseFreeInstance(s, u.sender, phase);
         if (!i) return false;
-        Share* share = shareOf(now, i, u.who);
-        setTold(now, i, *share, share->told + 1);
-        u.granted = now;
-        ++u.told;
+        Allocation* allocation = findOrAddAllocation(now, i, u.sender);
+        setGranted(now, i, *allocation, allocation->granted + 1);
+        u.lastGrantedAt = now;
+        ++u.granted;
         return true;
     }
 
-    void serve(Instant now, Service* s) {
-        for (Instance* i : s->instances) askSurplus(now, i);
+    void serveWaiting(Instant now, Service* s) {
+        for (Instance* i : s->instances) recallOvercommitted(now, i);
         if (s->waiting == 0) return;
-        std::vector<Use*> want;
-        uint32_t demand = 0, slots = 0, coming = 0;
-        for (auto& [who, u] : s->uses) {
-            u.upCover = u.bootCover = u.told = 0;
-            demand += u.waiting + u.busy;
-            if (u.waiting > 0 && who->answers()) want.push_back(&u);
+        std::vector<SenderDemand*> want;
+        uint32_t totalDemand = 0, slots = 0, coming = 0;
+        for (auto& [sender, u] : s->demands) {
+            u.upCover = u.bootCover = u.granted = 0;
+            totalDemand += u.waiting + u.busy;
+            if (u.waiting > 0 && sender->isResponsive()) want.push_back(&u);
         }
         for (Instance* i : s->instances) {
-            if (!i->usable()) continue;
+            if (!i->isUsable()) continue;
             if (i->phase == Phase::up) slots += i->slots;
-            for (auto& sh : i->shares) {
-                sh.use->told += sh.told;
+            for (auto& sh : i->allocations) {
+                sh.demand->granted += sh.granted;
                 if (i->phase == Phase::booting) {
-                    sh.use->bootCover += sh.told;
+                    sh.demand->bootCover += sh.granted;
                 } else {
-                    sh.use->upCover += sh.told > sh.busy ? sh.told - sh.busy : 0;
-                    coming += sh.who->answers() ? sh.reserved() - sh.told : sh.lendable();
+                    sh.demand->upCover += sh.granted > sh.busy ? sh.granted - sh.busy : 0;
+                    coming +=
+                        sh.sender->isResponsive() ? sh.reservedSlots() - sh.granted : sh.reassignableSlots();
                 }
             }
             if (i->phase == Phase::up)
-                for (auto& g : i->ghosts) coming += g.slots;
+                for (auto& g : i->reservations) coming += g.slots;
         }
         // Whoever was given something longest ago goes first, one slot at a time.
-        std::sort(want.begin(), want.end(), [](Use* a, Use* b) {
-            return a->granted != b->granted ? a->granted < b->granted : a->who->id < b->who->id;
+        std::sort(want.begin(), want.end(), [](SenderDemand* a, SenderDemand* b) {
+            return a->lastGrantedAt != b->lastGrantedAt ? a->lastGrantedAt < b->lastGrantedAt
+                                                        : a->sender->id < b->sender->id;
         });
-        auto round = [&](auto shortOf, Phase phase) {
+        auto grantInTurns = [&](auto unmetBy, Phase phase) {
             uint32_t unmet = 0, spare = 0;
-            std::vector<Use*> open = want;
+            std::vector<SenderDemand*> open = want;
             // Counted once: where nothing is free each of many wants went through all shares of all
             // instances, and the holder got slower by what waited: after a loss of all cores it never caught
             // up again.
             for (const Instance* i : s->instances)
-                if (i->phase == phase && !i->voter) spare += i->spare();
+                if (i->phase == phase && !i->suspectedBy) spare += i->freeSlots();
             while (!open.empty()) {
-                std::vector<Use*> still;
-                for (Use* u : open) {
-                    if (shortOf(*u) == 0) continue;
-                    if (spare == 0 || !give(now, s, *u, phase)) {
-                        unmet += shortOf(*u);
+                std::vector<SenderDemand*> still;
+                for (SenderDemand* u : open) {
+                    if (unmetBy(*u) == 0) continue;
+                    if (spare == 0 || !grantSlot(now, s, *u, phase)) {
+                        unmet += unmetBy(*u);
                         continue;
                     }
                     --spare;
@@ -645,67 +669,72 @@
             }
             return unmet;
         };
-        auto shortOfUp = [](const Use& u) { return u.waiting > u.upCover ? u.waiting - u.upCover : 0; };
-        auto shortOfAny = [](const Use& u) {
+        auto unmetByUp = [](const SenderDemand& u) {
+            return u.waiting > u.upCover ? u.waiting - u.upCover : 0;
+        };
+        auto unmetByAny = [](const SenderDemand& u) {
             uint32_t c = u.upCover + u.bootCover;
             return u.waiting > c ? u.waiting - c : 0;
         };
-        uint32_t unmet = round(shortOfUp, Phase::up);
-        if (unmet > coming) recall(now, s, want, unmet - coming, slots, demand);
-        round(shortOfAny, Phase::booting);
+        uint32_t unmet = grantInTurns(unmetByUp, Phase::up);
+        if (unmet > coming) recallSlots(now, s, want, unmet - coming, slots, totalDemand);
+        grantInTurns(unmetByAny, Phase::booting);
     }
 
-    void recall(Instant now, Service* s, const std::vector<Use*>& want, uint32_t need, uint32_t slots,
-                uint32_t demand) {
+    void recallSlots(Instant now, Service* s, const std::vector<SenderDemand*>& want, uint32_t need,
+                     uint32_t slots, uint32_t totalDemand) {
         struct Idle {
             Instance* i;
-            Share* s;
+            Allocation* s;
             uint32_t n;
         };
         std::vector<Idle> idle;
         for (Instance* i : s->instances) {
             if (i->phase != Phase::up) continue;
-            for (auto& sh : i->shares)
-                if (sh.canLower() && sh.told > sh.busy && sh.use->waiting == 0)
-                    idle.push_back({i, &sh, sh.told - sh.busy});
+            for (auto& sh : i->allocations)
+                if (sh.canDecrease() && sh.granted > sh.busy && sh.demand->waiting == 0)
+                    idle.push_back({i, &sh, sh.granted - sh.busy});
         }
         std::sort(idle.begin(), idle.end(), [](const Idle& a, const Idle& b) {
-            if (a.s->who->late != b.s->who->late) return b.s->who->late;
+            if (a.s->sender->isUnresponsive != b.s->sender->isUnresponsive)
+                return b.s->sender->isUnresponsive;
             return a.s->idleSince != b.s->idleSince ? a.s->idleSince < b.s->idleSince : a.i->id < b.i->id;
         });
         for (auto& d : idle) {
             if (need == 0) return;
             uint32_t n = std::min(need, d.n);
-            setTold(now, d.i, *d.s, d.s->told - n);
-            d.s->use->told -= std::min(n, d.s->use->told);
-            counts.recalls += n;
+            setGranted(now, d.i, *d.s, d.s->granted - n);
+            d.s->demand->granted -= std::min(n, d.s->demand->granted);
+            counters.recalledSlots += n;
             need -= n;
         }
         // All are at work: a sender with little or nothing gets its part as calls end. Against a sender
         // that keeps all slots busy while another starves; harms by a round trip per slot, so damped.
-        if (demand == 0 || slots == 0) return;
-        auto fair = [&](const Use& u) { return double(slots) * (u.waiting + u.busy) / demand; };
+        if (totalDemand == 0 || slots == 0) return;
+        auto fair = [&](const SenderDemand& u) { return double(slots) * (u.waiting + u.busy) / totalDemand; };
         uint32_t moves = std::min(need, slots / 4 + 1);
-        for (Use* u : want) {
-            while (moves > 0 && u->waiting > u->upCover && u->told < u->waiting + u->busy &&
-                   (u->told == 0 || u->told + 0.5 <= fair(*u))) {
+        for (SenderDemand* u : want) {
+            while (moves > 0 && u->waiting > u->upCover && u->granted < u->waiting + u->busy &&
+                   (u->granted == 0 || u->granted + 0.5 <= fair(*u))) {
                 Instance* from = nullptr;
-                Share* best = nullptr;
-                double most = u->told == 0 ? 0.3 : 0.5;
+                Allocation* best = nullptr;
+                double most = u->granted == 0 ? 0.3 : 0.5;
                 for (Instance* i : s->instances) {
                     if (i->phase != Phase::up) continue;
-                    for (auto& sh : i->shares) {
-                        if (sh.use == u || sh.told == 0 || !sh.canLower() || sh.who->late) continue;
-                        double over = sh.use->told - fair(*sh.use);
+                    for (auto& sh : i->allocations) {
+                        if (sh.demand == u || sh.granted == 0 || !sh.canDecrease() ||
+                            sh.sender->isUnresponsive)
+                            continue;
+                        double over = sh.demand->granted - fair(*sh.demand);
                         if (over > most) most = over, best = &sh, from = i;
                     }
                 }
                 if (!best) break;
-                setTold(now, from, *best, best->told - 1);
-                --best->use->told;
+                setGranted(now, from, *best, best->granted - 1);
+                --best->demand->granted;
                 ++u->upCover;  // on its way, for this pass
-                ++u->told;
-                ++counts.recalls;
+                ++u->granted;
+                ++counters.recalledSlots;
                 --moves;
             }
         }
@@ -713,80 +742,85 @@
 
     // --- how many instances --------------------------------------------------------------------------------
 
-    bool late(const Service* s) const { return s->spec.target < s->spec.boot + Span::seconds(workOf(s)); }
+    bool missesTargetAfterBoot(const Service* s) const {
+        return s->spec.targetLatency < s->spec.bootTime + Span::seconds(estimateCallSeconds(s));
+    }
 
     // Slots that requests which wait now call for. A request that gets its turn before a boot is over is not
     // helped by a start, so it is the queue that cannot drain that counts, not each request.
-    double needNow(const Service* s, uint32_t upSlots) const {
-        double work = workOf(s), drain;
-        if (late(s)) {
-            drain = tuning.drainHot.inSeconds();
+    double slotsNeededNow(const Service* s, uint32_t upSlots) const {
+        double work = estimateCallSeconds(s), drain;
+        if (missesTargetAfterBoot(s)) {
+            drain = tuning.hotDrainTime.inSeconds();
         } else {
-            double spare = 0.5 * (s->spec.target.inSeconds() - s->spec.boot.inSeconds() - work);
-            drain = std::clamp(spare, tuning.drainLeast.inSeconds(), tuning.drainMost.inSeconds());
-            if (upSlots > 0) drain += s->spec.boot.inSeconds();
+            double spare = 0.5 * (s->spec.targetLatency.inSeconds() - s->spec.bootTime.inSeconds() - work);
+            drain = std::clamp(spare, tuning.minDrainTime.inSeconds(), tuning.maxDrainTime.inSeconds());
+            if (upSlots > 0) drain += s->spec.bootTime.inSeconds();
         }
-        double byRate = tuning.shortOver * s->shortRate * work + s->waiting * work / drain;
+        double byRate = tuning.shortRateFactor * s->shortRate * work + s->waiting * work / drain;
         return std::clamp(byRate, 1.0, std::max(1.0, double(s->waiting) + s->busy));
     }
 
-    double coldCost(const Service* s) const {
+    double coldStartCost(const Service* s) const {
         double gb = s->spec.memoryMb / 1024.0;
-        return tuning.startGbS + gb * s->spec.boot.inSeconds() +
-               (s->spec.target < s->spec.boot ? tuning.coldGbS : 0);
+        return tuning.startCostGbSeconds + gb * s->spec.bootTime.inSeconds() +
+               (s->spec.targetLatency < s->spec.bootTime ? tuning.lateCallCostGbSeconds : 0);
     }
     // One beyond those wanted: as long as its memory costs less than its next start would.
-    Span keepExtra(const Service* s) const {
+    Span surplusKeepTime(const Service* s) const {
         double perS = std::max(0.01, s->spec.memoryMb / 1024.0);
-        return std::min(Span::seconds(coldCost(s) / perS), tuning.keepMost);
+        return std::min(Span::seconds(coldStartCost(s) / perS), tuning.maxKeepTime);
     }
     // Idle time after which an instance has cost what its loss would; longer where calls are so steady that
     // the next one is worth the wait.
-    Span keep(const Service* s) const {
-        if (!s->known) return tuning.keepUnknown;
-        double perS = std::max(0.01, s->spec.memoryMb / 1024.0), cold = coldCost(s);
-        if (s->spec.target < s->spec.boot) cold += tuning.coldGbS * s->longRate * s->spec.boot.inSeconds();
+    Span idleKeepTime(const Service* s) const {
+        if (!s->isConfigured) return tuning.unconfiguredKeepTime;
+        double perS = std::max(0.01, s->spec.memoryMb / 1024.0), cold = coldStartCost(s);
+        if (s->spec.targetLatency < s->spec.bootTime)
+            cold += tuning.lateCallCostGbSeconds * s->longRate * s->spec.bootTime.inSeconds();
         double span = cold / perS;
-        if (s->longRate * cold > perS) span = std::max(span, tuning.keepGaps / s->longRate);
-        return std::min(Span::seconds(span), tuning.keepMost);
-    }
-    double wanted(Instant now, const Service* s) const {
-        if (!s->known) return 0;
-        if (s->waiting + s->busy == 0 && now > s->lastCall + keep(s)) return now < s->warmUntil ? 1 : 0;
-        double rate = std::max(s->fast, s->slow), want;
-        if (late(s)) {
-            double m = rate * workOf(s);
-            double users = double(s->uses.size());
-            want = m + tuning.sigmas * std::sqrt(m) + tuning.pieces * std::min(users, m);
-            if (rate > tuning.hotRate && s->spec.target < s->spec.boot)
-                want = std::max(want, tuning.burst * m + tuning.burstSigmas * std::sqrt(m));
+        if (s->longRate * cold > perS) span = std::max(span, tuning.keepMeanGaps / s->longRate);
+        return std::min(Span::seconds(span), tuning.maxKeepTime);
+    }
+    double wantedSlots(Instant now, const Service* s) const {
+        if (!s->isConfigured) return 0;
+        if (s->waiting + s->busy == 0 && now > s->lastCallAt + idleKeepTime(s))
+            return now < s->warmUntil ? 1 : 0;
+        double rate = std::max(s->fastRate, s->slowRate), want;
+        if (missesTargetAfterBoot(s)) {
+            double m = rate * estimateCallSeconds(s);
+            double users = double(s->demands.size());
+            want = m + tuning.reserveSigmas * std::sqrt(m) + tuning.reservePerSender * std::min(users, m);
+            if (rate > tuning.hotRate && s->spec.targetLatency < s->spec.bootTime)
+                want = std::max(want, tuning.burstFactor * m + tuning.burstSigmas * std::sqrt(m));
         } else {
             // There is time for a turn in the queue, and what waits too long starts more by itself.
-            double m = std::min(rate, s->slow) *
-                       (workOf(s) + (s->uses.size() > 1 ? tuning.handOver.inSeconds() : 0));
-            want = m + tuning.sigmasSlack * std::sqrt(m);
+            double m =
+                std::min(rate, s->slowRate) *
+                (estimateCallSeconds(s) + (s->demands.size() > 1 ? tuning.handoverTime.inSeconds() : 0));
+            want = m + tuning.slackReserveSigmas * std::sqrt(m);
         }
         return std::max(want, 1.0);
     }
 
-    struct Have {
+    struct Capacity {
         uint32_t slots = 0, up = 0, count = 0;
     };
-    Have have(const Service* s) const {
-        Have h;
+    Capacity usableCapacity(const Service* s) const {
+        Capacity h;
         for (Instance* i : s->instances) {
-            if (!i->usable()) continue;
+            if (!i->isUsable()) continue;
             ++h.count;
             h.slots += i->slots;
             if (i->phase == Phase::up) h.up += i->slots;
         }
-        h.count += s->pending;
-        h.slots += s->pending * uint32_t(std::max(1, s->spec.maxConcurrency));
+        h.count += s->pendingStartCount;
+        h.slots += s->pendingStartCount * uint32_t(std::max(1, s->spec.maxConcurrency));
         return h;
     }
 
-    void grow(Instant now, Service* s, double slots, bool urgent) {
-        Have h = have(s);
+    void startUpTo(Instant now, Service* s, double slots, bool urgent) {
+        Capacity h = usableCapacity(s);
         // Those that are being asked back come first: they are up.
         for (Instance* i : s->instances) {
             if (h.slots >= slots) return;
@@ -795,33 +829,33 @@
             closing.erase(i);
             h.slots += i->slots;
         }
-        if (!s->known || now < s->blockedUntil) return;
+        if (!s->isConfigured || now < s->startsBlockedUntil) return;
         uint32_t each = uint32_t(std::max(1, s->spec.maxConcurrency));
         while (h.slots < slots) {
-            Node* node = place(now, s);
+            WorkerState* node = chooseWorker(now, s);
             if (!node) {
-                s->blockedUntil = now + tuning.blocked;
+                s->startsBlockedUntil = now + tuning.startsBlockedTime;
                 return;
             }
             if (!takeToken(now, urgent)) return;
-            Start start;
+            PendingStart start;
             start.service = s;
-            start.worker = node->seen.name;
+            start.worker = node->reported.name;
             start.at = now;
-            node->taken.emplace_back(now, s->spec.memoryMb);
-            std::string nonce = prefix + std::to_string(++nonces);
-            out.emplace_back(StartCall{s->spec.name, start.worker, nonce});
-            starts.emplace(nonce, std::move(start));
-            ++s->pending;
-            ++counts.starts;
+            node->reservedMemory.emplace_back(now, s->spec.memoryMb);
+            std::string nonce = noncePrefix + std::to_string(++nonceCount);
+            outputs.emplace_back(StartCall{s->spec.name, start.worker, nonce});
+            pendingStarts.emplace(nonce, std::move(start));
+            ++s->pendingStartCount;
+            ++counters.starts;
             h.slots += each;
         }
     }
 
     // Few of the same service on one worker and in one zone (a crash takes a worker), the zone of the
     // demand, then room.
-    Node* place(Instant now, Service* s) {
-        std::unordered_map<std::string, double> onWorker, inZone, asked;
+    WorkerState* chooseWorker(Instant now, Service* s) {
+        std::unordered_map<std::string, double> onWorker, inZone, demandInZone;
         double total = 0, count = 0;
         auto add = [&](const std::string& worker, const std::string& zone) {
             onWorker[worker] += 1;
@@ -829,36 +863,38 @@
             count += 1;
         };
         for (Instance* i : s->instances)
-            if (i->usable()) add(i->worker, i->zone);
-        if (s->pending > 0)
-            for (auto& [nonce, st] : starts)
-                if (st.service == s && st.counted) {
-                    auto n = nodes.find(st.worker);
-                    add(st.worker, n == nodes.end() ? "" : n->second.seen.zone);
+            if (i->isUsable()) add(i->worker, i->zone);
+        if (s->pendingStartCount > 0)
+            for (auto& [nonce, st] : pendingStarts)
+                if (st.service == s && st.isCounted) {
+                    auto n = workers.find(st.worker);
+                    add(st.worker, n == workers.end() ? "" : n->second.reported.zone);
                 }
-        for (auto& [who, u] : s->uses) {
-            double d = u.rate * decay(u.rateAt, now, tuning.fastTau) + u.waiting;
-            asked[who->zone] += d;
+        for (auto& [sender, u] : s->demands) {
+            double d = u.rate * decayFactor(u.rateUpdatedAt, now, tuning.fastTau) + u.waiting;
+            demandInZone[sender->zone] += d;
             total += d;
         }
-        Node* best = nullptr;
+        WorkerState* best = nullptr;
         double bestScore = 0;
-        for (auto& [name, n] : nodes) {
-            if (n.seen.draining || n.missed > 0 || n.fullUntil > now || n.free() < s->spec.memoryMb) continue;
-            double share = total > 0 ? asked[n.seen.zone] / total : 0;
-            double score = 2 * (share * (count + 1) - inZone[n.seen.zone]) - 1.5 * onWorker[name] +
-                           double(n.free()) / std::max(1, n.seen.memoryMb);
-            if (!best || score > bestScore || (score == bestScore && name < best->seen.name))
+        for (auto& [name, n] : workers) {
+            if (n.reported.draining || n.missedLists > 0 || n.fullUntil > now ||
+                n.freeMemoryMb() < s->spec.memoryMb)
+                continue;
+            double share = total > 0 ? demandInZone[n.reported.zone] / total : 0;
+            double score = 2 * (share * (count + 1) - inZone[n.reported.zone]) - 1.5 * onWorker[name] +
+                           double(n.freeMemoryMb()) / std::max(1, n.reported.memoryMb);
+            if (!best || score > bestScore || (score == bestScore && name < best->reported.name))
                 best = &n, bestScore = score;
         }
         return best;
     }
 
-    void shrink(Instant now, Service* s) {
-        Have h = have(s);
-        double want = wanted(now, s);
+    void retireSurplus(Instant now, Service* s) {
+        Capacity h = usableCapacity(s);
+        double want = wantedSlots(now, s);
         uint32_t each = uint32_t(std::max(1, s->spec.maxConcurrency));
-        double hold = want > 0 ? std::max(want * tuning.keepOver, s->peakBusy) : 0;
+        double hold = want > 0 ? std::max(want * tuning.surplusFactor, s->peakBusy) : 0;
         auto least = uint32_t(std::ceil(hold / each));
         // At exactly the edge no 15% more: one instance where one is wanted.
         if (want > 0 && want <= each && s->peakBusy <= each) least = 1;
@@ -867,10 +903,10 @@
             return;
         }
         if (s->surplusSince == Instant::never()) s->surplusSince = now;
-        if (want > 0 && now - s->surplusSince < keepExtra(s)) return;
+        if (want > 0 && now - s->surplusSince < surplusKeepTime(s)) return;
         std::vector<std::pair<uint32_t, Instance*>> by;
         for (Instance* i : s->instances)
-            if (i->phase == Phase::up) by.emplace_back(i->busy(), i);
+            if (i->phase == Phase::up) by.emplace_back(i->busySlots(), i);
         std::sort(by.begin(), by.end(), [](const auto& a, const auto& b) {
             return a.first != b.first ? a.first < b.first : a.second->id < b.second->id;
         });
@@ -883,399 +919,405 @@
     }
 
     // Free slots lie better where calls come than with us: a burst then needs no word with the holder.
-    void spread(Instant now, Service* s) {
-        if (s->uses.empty() || s->instances.empty()) return;
+    void spreadFreeSlots(Instant now, Service* s) {
+        if (s->demands.empty() || s->instances.empty()) return;
         double total = 0;
         uint32_t slots = 0, spare = 0;
-        for (auto& [who, u] : s->uses) {
-            u.told = 0;
-            if (!who->answers() || who->leaving) continue;
-            total += u.rate * decay(u.rateAt, now, tuning.fastTau);
+        for (auto& [sender, u] : s->demands) {
+            u.granted = 0;
+            if (!sender->isResponsive() || sender->isLeaving) continue;
+            total += u.rate * decayFactor(u.rateUpdatedAt, now, tuning.fastTau);
         }
         for (Instance* i : s->instances) {
             if (i->phase != Phase::up) continue;
             slots += i->slots;
-            spare += i->spare();
-            for (auto& sh : i->shares) sh.use->told += sh.told;
+            spare += i->freeSlots();
+            for (auto& sh : i->allocations) sh.demand->granted += sh.granted;
         }
         if (total < 0.2 || slots == 0) return;
-        auto fair = [&](const Use& u) {
-            if (!u.who->answers() || u.who->leaving) return 0.0;
-            return slots * u.rate * decay(u.rateAt, now, tuning.fastTau) / total;
+        auto fair = [&](const SenderDemand& u) {
+            if (!u.sender->isResponsive() || u.sender->isLeaving) return 0.0;
+            return slots * u.rate * decayFactor(u.rateUpdatedAt, now, tuning.fastTau) / total;
         };
         while (spare > 0) {
-            Use* neediest = nullptr;
+            SenderDemand* neediest = nullptr;
             double most = 0.5;
-            for (auto& [who, u] : s->uses) {
-                double lack = fair(u) - u.told;
+            for (auto& [sender, u] : s->demands) {
+                double lack = fair(u) - u.granted;
                 if (lack > most) most = lack, neediest = &u;
             }
-            if (!neediest || !give(now, s, *neediest, Phase::up)) break;
+            if (!neediest || !grantSlot(now, s, *neediest, Phase::up)) break;
             --spare;
         }
-        if (spare > 0 || s->uses.size() < 2) return;
+        if (spare > 0 || s->demands.size() < 2) return;
         // One idle slot a tick from who has too many to who has too few; no more, so shares do not swing.
         double lack = 1;
         bool needed = false;
-        for (auto& [who, u] : s->uses)
-            if (fair(u) - u.told >= lack) needed = true;
+        for (auto& [sender, u] : s->demands)
+            if (fair(u) - u.granted >= lack) needed = true;
         if (!needed) return;
-        Share* best = nullptr;
+        Allocation* best = nullptr;
         Instance* from = nullptr;
         double most = 1;
         for (Instance* i : s->instances) {
             if (i->phase != Phase::up) continue;
-            for (auto& sh : i->shares) {
-                if (!sh.canLower() || sh.told <= sh.busy || sh.who->late) continue;
-                double over = sh.use->told - fair(*sh.use);
+            for (auto& sh : i->allocations) {
+                if (!sh.canDecrease() || sh.granted <= sh.busy || sh.sender->isUnresponsive) continue;
+                double over = sh.demand->granted - fair(*sh.demand);
                 if (over >= most) most = over, best = &sh, from = i;
             }
         }
         if (best) {
-            setTold(now, from, *best, best->told - 1);
-            ++counts.recalls;
+            setGranted(now, from, *best, best->granted - 1);
+            ++counters.recalledSlots;
         }
     }
 
     // --- the pass after every event ------------------------------------------------------------------------
 
-    void learn(Instant now) {
-        if (ready || now < born + tuning.learn || (!listedYet && now < born + tuning.learnMost)) return;
-        if (now < born + tuning.learnMost)
+    void finishLearning(Instant now) {
+        if (isReady || now < createdAt + tuning.learningTime ||
+            (!hasInstanceList && now < createdAt + tuning.maxLearningTime))
+            return;
+        if (now < createdAt + tuning.maxLearningTime)
             for (auto& [id, s] : senders)
-                if (s->linked && !s->synced) return;
-        ready = true;
-        for (auto& [name, s] : services) mark(s.get());
+                if (s->isLinked && !s->isSynced) return;
+        isReady = true;
+        for (auto& [name, s] : services) markDirty(s.get());
     }
 
     // Events of one round are weighed together when the outputs are pulled: one pass, and one word to a
     // sender. Against a small machine that hears thousands of reports a second, where a pass for each left no
     // time for the duty's own beats. Harm: an event waits for the others of its round.
-    void passSoon(Instant now) {
-        passDue = true;
-        passAt = now;
-    }
-    void pass(Instant now) {
-        passDue = false;
-        learn(now);
-        if (ready) {
+    void schedulePass(Instant now) {
+        isPassDue = true;
+        passTime = now;
+    }
+    void runPass(Instant now) {
+        isPassDue = false;
+        finishLearning(now);
+        if (isReady) {
             std::vector<Service*> work;
-            work.swap(dirty);
+            work.swap(dirtyServices);
             for (Service* s : work) {
-                s->dirty = false;
-                settle(now, s);
+                s->isDirty = false;
+                decayRates(now, s);
                 if (s->waiting > 0) {
-                    Have h = have(s);
-                    double need = needNow(s, h.up) + locked(s);
-                    if (need > h.slots) grow(now, s, need, true);
+                    Capacity h = usableCapacity(s);
+                    double need = slotsNeededNow(s, h.up) + unavailableSlots(s);
+                    if (need > h.slots) startUpTo(now, s, need, true);
                 }
-                if (s->refill) {
-                    s->refill = false;
-                    double want = wanted(now, s);
-                    if (want > have(s).slots) grow(now, s, want, true);
+                if (s->needsRefill) {
+                    s->needsRefill = false;
+                    double want = wantedSlots(now, s);
+                    if (want > usableCapacity(s).slots) startUpTo(now, s, want, true);
                 }
-                serve(now, s);
+                serveWaiting(now, s);
             }
-            finishClosing(now);
+            advanceClosing(now);
         }
-        flush(now);
+        sendGrants(now);
     }
 
     void tick(Instant now) {
-        findLate(now);
+        detectUnresponsiveSenders(now);
         lastTick = now;
-        starved = false;
-        if (now >= ghostAt) ghostAt = Instant::never();
+        isOutOfTokens = false;
+        if (now >= nextReservationEnd) nextReservationEnd = Instant::never();
         expire(now);
-        learn(now);
-        if (ready) {
+        finishLearning(now);
+        if (isReady) {
             for (auto& [name, p] : services) {
                 Service* s = p.get();
-                if (s->waiting > 0) mark(s);  // starts for waiting go first: pass() before the rest
+                if (s->waiting > 0) markDirty(s);  // starts for waiting go first: pass() before the rest
             }
-            pass(now);
+            runPass(now);
             for (auto& [name, p] : services) {
                 Service* s = p.get();
-                if (s->instances.empty() && s->pending == 0 && s->waiting == 0 &&
-                    now > s->lastCall + tuning.keepMost && now >= s->warmUntil)
+                if (s->instances.empty() && s->pendingStartCount == 0 && s->waiting == 0 &&
+                    now > s->lastCallAt + tuning.maxKeepTime && now >= s->warmUntil)
                     continue;
-                settle(now, s);
-                double peak = s->peakBusy * decay(s->peakAt, now, tuning.peakTau);
+                decayRates(now, s);
+                double peak = s->peakBusy * decayFactor(s->peakUpdatedAt, now, tuning.peakTau);
                 s->peakBusy = std::max(double(s->busy), peak);
-                s->peakAt = now;
-                double want = wanted(now, s);
-                if (want > have(s).slots) grow(now, s, want, false);
-                spread(now, s);
-                shrink(now, s);
+                s->peakUpdatedAt = now;
+                double want = wantedSlots(now, s);
+                if (want > usableCapacity(s).slots) startUpTo(now, s, want, false);
+                spreadFreeSlots(now, s);
+                retireSurplus(now, s);
             }
         }
-        pass(now);
-        count();
+        runPass(now);
+        updateGauges();
     }
 
     // When a start that no list shows and nobody has called up will not come any more.
-    Instant bootOver(const Instance* i) const {
-        return i->startedAt + i->service->spec.boot * tuning.bootsToDead + listLag;
+    Instant bootDeadline(const Instance* i) const {
+        return i->startedAt + i->service->spec.bootTime * tuning.maxBootFactor + listLag;
     }
     void expire(Instant now) {
         std::vector<Sender*> ended;
         for (auto& [id, s] : senders)
-            if (!s->linked && now >= s->freeAt) ended.push_back(s.get());
-        for (Sender* s : ended) endSender(now, s, Span());
+            if (!s->isLinked && now >= s->slotsFreeAt) ended.push_back(s.get());
+        for (Sender* s : ended) removeSender(now, s, Span());
         std::vector<Instance*> old;
         for (auto& [id, p] : instances) {
             Instance* i = p.get();
-            auto over = [&](const Ghost& g) { return now >= g.until; };
-            if (std::erase_if(i->ghosts, over) > 0) mark(i->service);
-            for (const auto& g : i->ghosts) ghostAt = std::min(ghostAt, g.until);
+            auto over = [&](const SlotReservation& g) { return now >= g.until; };
+            if (std::erase_if(i->reservations, over) > 0) markDirty(i->service);
+            for (const auto& g : i->reservations) nextReservationEnd = std::min(nextReservationEnd, g.until);
             if (i->phase == Phase::gone) {
-                if (now >= i->goneAt + tuning.tombstone) old.push_back(i);
+                if (now >= i->goneAt + tuning.tombstoneTime) old.push_back(i);
                 continue;
             }
-            for (auto& s : i->shares) {
-                if (!s.asked || !s.who->linked || !s.who->synced) continue;
-                if (now >= s.askedAt + tuning.trustHeldAfter && s.held != s.told) {
+            for (auto& s : i->allocations) {
+                if (!s.isUnconfirmed || !s.sender->isLinked || !s.sender->isSynced) continue;
+                if (now >= s.changedAt + tuning.acceptHeldAfter && s.held != s.granted) {
                     // Upwards it may well use them: they count as taken. Downwards below what was asked:
                     // given back unasked in between. Above: it is still at work.
-                    if (s.rising)
-                        s.held = s.told, s.asked = false;
-                    else if (s.held < s.told)
-                        s.told = s.held, s.asked = false;
-                    mark(i->service);
+                    if (s.isIncrease)
+                        s.held = s.granted, s.isUnconfirmed = false;
+                    else if (s.held < s.granted)
+                        s.granted = s.held, s.isUnconfirmed = false;
+                    markDirty(i->service);
                 }
-                if (s.asked && now >= s.toldAt + tuning.tellAgain) {
-                    s.toldAt = now;
-                    due(i, s);
+                if (s.isUnconfirmed && now >= s.sentAt + tuning.resendAfter) {
+                    s.sentAt = now;
+                    queueGrant(i, s);
                 }
             }
-            std::erase_if(i->shares, [&](const Share& s) {
-                bool empty = s.reserved() == 0 && !s.asked && !s.due;
-                if (empty) s.who->holds.erase(i);
+            std::erase_if(i->allocations, [&](const Allocation& s) {
+                bool empty = s.reservedSlots() == 0 && !s.isUnconfirmed && !s.isGrantDue;
+                if (empty) s.sender->heldInstances.erase(i);
                 return empty;
             });
-            if (i->voter && now >= i->votedAt + tuning.deadVote) i->voter = nullptr;
+            if (i->suspectedBy && now >= i->suspectedAt + tuning.suspicionTime) i->suspectedBy = nullptr;
         }
-        for (Instance* i : old) forget(i);
-        std::vector<std::string> given;
-        for (auto& [nonce, st] : starts) {
-            if (st.counted && now >= st.at + st.service->spec.boot * tuning.bootsToDead + tuning.blocked) {
-                st.counted = false;
-                --st.service->pending;
-                mark(st.service);
+        for (Instance* i : old) removeInstance(i);
+        std::vector<std::string> abandoned;
+        for (auto& [nonce, st] : pendingStarts) {
+            if (st.isCounted &&
+                now >= st.at + st.service->spec.bootTime * tuning.maxBootFactor + tuning.startsBlockedTime) {
+                st.isCounted = false;
+                --st.service->pendingStartCount;
+                markDirty(st.service);
             }
-            if (st.tries >= tuning.tries || now >= st.at + tuning.tombstone) {
-                given.push_back(nonce);
+            if (st.attempts >= tuning.maxAttempts || now >= st.at + tuning.tombstoneTime) {
+                abandoned.push_back(nonce);
             } else if (now >= st.retryAt && takeToken(now, true)) {
                 st.retryAt = Instant::never();
-                out.emplace_back(StartCall{st.service->spec.name, st.worker, nonce});
+                outputs.emplace_back(StartCall{st.service->spec.name, st.worker, nonce});
             }
         }
-        for (const auto& nonce : given) endStart(nonce);
+        for (const auto& nonce : abandoned) removeStart(nonce);
         for (auto it = services.begin(); it != services.end();) {
             Service* s = it->second.get();
-            bool idle = !s->known && s->instances.empty() && s->pending == 0 && !s->dirty &&
-                        s->waiting + s->busy == 0 && now > s->lastCall + tuning.tombstone &&
-                        std::none_of(starts.begin(), starts.end(),
+            bool idle = !s->isConfigured && s->instances.empty() && s->pendingStartCount == 0 &&
+                        !s->isDirty && s->waiting + s->busy == 0 &&
+                        now > s->lastCallAt + tuning.tombstoneTime &&
+                        std::none_of(pendingStarts.begin(), pendingStarts.end(),
                                      [&](const auto& x) { return x.second.service == s; });
             if (!idle) {
                 ++it;
                 continue;
             }
-            for (auto& [who, u] : s->uses) who->uses.erase(s);
+            for (auto& [sender, u] : s->demands) sender->services.erase(s);
             it = services.erase(it);
         }
     }
-    void endStart(const std::string& nonce) {
-        auto it = starts.find(nonce);
-        if (it == starts.end()) return;
-        if (it->second.counted) --it->second.service->pending;
-        mark(it->second.service);
-        starts.erase(it);
+    void removeStart(const std::string& nonce) {
+        auto it = pendingStarts.find(nonce);
+        if (it == pendingStarts.end()) return;
+        if (it->second.isCounted) --it->second.service->pendingStartCount;
+        markDirty(it->second.service);
+        pendingStarts.erase(it);
     }
 
-    void count() {
-        counts.instances = counts.booting = counts.slots = counts.waiting = 0;
+    void updateGauges() {
+        counters.instances = counters.booting = counters.slots = counters.waiting = 0;
         for (auto& [id, i] : instances) {
             if (i->phase == Phase::gone) continue;
-            ++counts.instances;
-            if (i->phase == Phase::booting) ++counts.booting;
-            if (i->usable()) counts.slots += i->slots;
+            ++counters.instances;
+            if (i->phase == Phase::booting) ++counters.booting;
+            if (i->isUsable()) counters.slots += i->slots;
         }
-        for (auto& [name, s] : services) counts.waiting += s->waiting;
+        for (auto& [name, s] : services) counters.waiting += s->waiting;
     }
 };
 
-Planner::Planner(Instant now, uint64_t term, uint32_t chance, double dutyPerS, Span listLag)
-    : state_(std::make_unique<State>(now, term, chance, dutyPerS, listLag)) {}
+Planner::Planner(Instant now, uint64_t term, uint32_t randomSeed, double maxCallsPerSecond, Span listLag)
+    : state_(std::make_unique<State>(now, term, randomSeed, maxCallsPerSecond, listLag)) {}
 Planner::~Planner() = default;
 Planner::Planner(Planner&&) noexcept = default;
 Planner& Planner::operator=(Planner&&) noexcept = default;
 
-void Planner::configured(Instant now, std::vector<FunctionSpec> functions) {
+void Planner::onConfiguration(Instant now, std::vector<FunctionSpec> functions) {
     State& st = *state_;
     std::unordered_set<std::string> named;
     for (auto& f : functions) {
-        Service* s = st.serviceOf(now, f.name);
+        Service* s = st.findOrAddService(now, f.name);
         // The first calls of a service that boots longer than its aim would all come late: one instance
         // stands ready before they come. Harm: its memory, where nobody calls for so long.
-        if (!s->known && s->lastCall == Instant::longAgo() && f.target < f.boot)
-            s->warmUntil = now + st.tuning.warm;
-        s->known = true;
+        if (!s->isConfigured && s->lastCallAt == Instant::longAgo() && f.targetLatency < f.bootTime)
+            s->warmUntil = now + st.tuning.prewarmTime;
+        s->isConfigured = true;
         if (st.groupKey(s->spec) != st.groupKey(f)) s->group = nullptr;
         s->spec = f;
         named.insert(f.name);
         for (Instance* i : s->instances)
-            if (!i->listedOnce) i->slots = uint32_t(std::max(1, f.maxConcurrency));
-        st.mark(s);
+            if (!i->wasListed) i->slots = uint32_t(std::max(1, f.maxConcurrency));
+        st.markDirty(s);
     }
     for (auto& [name, s] : st.services) {
-        if (!s->known || named.count(name)) continue;
-        s->known = false;
-        s->lastCall = std::max(s->lastCall, now);  // calls that came before the change still run
-        st.mark(s.get());
+        if (!s->isConfigured || named.count(name)) continue;
+        s->isConfigured = false;
+        s->lastCallAt = std::max(s->lastCallAt, now);  // calls that came before the change still run
+        st.markDirty(s.get());
     }
-    st.configuredOnce = true;
-    st.passSoon(now);
+    st.hasConfiguration = true;
+    st.schedulePass(now);
 }
 
-void Planner::behind(Instant now) { state_->behindAt = now; }
-bool Planner::ready() const { return state_->ready; }
+void Planner::onReportBacklog(Instant now) { state_->backlogReportedAt = now; }
+bool Planner::isReady() const { return state_->isReady; }
 
-void Planner::renewed(Instant now, uint64_t term) {
+void Planner::onTermRenewed(Instant now, uint64_t term) {
     State& st = *state_;
     if (term <= st.term) return;
     st.term = term;
-    st.prefix = std::to_string(term) + "-" + std::to_string(st.random()) + "-";
-    for (auto& [id, sender] : st.senders) sender->synced = false;  // their whole reports for this term come
-    st.passSoon(now);
+    st.noncePrefix = std::to_string(term) + "-" + std::to_string(st.random()) + "-";
+    for (auto& [id, sender] : st.senders) sender->isSynced = false;  // their whole reports for this term come
+    st.schedulePass(now);
 }
 
-void Planner::linked(Instant now, const SenderId& sender, const std::string& zone) {
+void Planner::onSenderLinked(Instant now, const SenderId& senderId, const std::string& zone) {
     State& st = *state_;
-    auto& p = st.senders[sender];
+    auto& p = st.senders[senderId];
     if (!p) {
         p = std::make_unique<Sender>();
-        p->number = ++st.numbers;
-        p->id = sender;
+        p->creationNumber = ++st.lastCreationNumber;
+        p->id = senderId;
     }
-    st.purge(p.get());
+    st.discardUnsent(p.get());
     p->zone = zone;
-    p->linked = true;
-    p->unanswered = Instant::never();
+    p->isLinked = true;
+    p->unansweredSince = Instant::never();
     // Its whole report says what it holds; until then all stays reserved.
-    p->synced = p->leaving = p->late = false;
-    p->freeAt = Instant::never();
-    st.passSoon(now);
+    p->isSynced = p->isLeaving = p->isUnresponsive = false;
+    p->slotsFreeAt = Instant::never();
+    st.schedulePass(now);
 }
 
-void Planner::reported(Instant now, const SenderId& sender, const Report& report) {
+void Planner::onReport(Instant now, const SenderId& senderId, const Report& report) {
     State& st = *state_;
     if (report.term != st.term) {
-        ++st.counts.wrongTerm;
+        ++st.counters.wrongTerm;
         return;
     }
-    auto found = st.senders.find(sender);
-    if (found == st.senders.end() || !found->second->linked) return;
-    Sender* who = found->second.get();
-    if (!who->synced && !report.whole) return;
-    bool sync = !who->synced;
-    who->synced = true;
-    who->late = false;
-    who->unanswered = Instant::never();
-    who->leaving = report.leaving;
-    double span = std::clamp(report.spanMs / 1000.0, 0.0, 10.0);
-
-    std::set<Instance*, Elder> namedHeld;
+    auto found = st.senders.find(senderId);
+    if (found == st.senders.end() || !found->second->isLinked) return;
+    Sender* sender = found->second.get();
+    if (!sender->isSynced && !report.isFull) return;
+    bool isFirstFullReport = !sender->isSynced;
+    sender->isSynced = true;
+    sender->isUnresponsive = false;
+    sender->unansweredSince = Instant::never();
+    sender->isLeaving = report.isLeaving;
+    double span = std::clamp(report.intervalMs / 1000.0, 0.0, 10.0);
+
+    std::set<Instance*, CreationOrder> namedHeld;
     for (const auto& h : report.held) {
         auto it = st.instances.find(h.instance);
         Instance* i;
         if (it == st.instances.end()) {
             if (h.slots == 0 || h.service.empty()) continue;
-            i = st.adopt(now, h.instance, h.service, h.address);
-            ++st.counts.adopted;
+            i = st.addInstance(now, h.instance, h.service, h.address);
+            ++st.counters.adopted;
         } else {
             i = it->second.get();
         }
-        if (h.slots == 0 && !i->share(who)) continue;
+        if (h.slots == 0 && !i->findAllocation(sender)) continue;
         namedHeld.insert(i);
-        st.heldNow(now, i, *st.shareOf(now, i, who), h.slots, std::min(h.busy, h.slots), sync);
+        st.applyHeld(now, i, *st.findOrAddAllocation(now, i, sender), h.slots, std::min(h.busy, h.slots),
+                     isFirstFullReport);
     }
-    if (report.whole) {
+    if (report.isFull) {
         std::vector<Instance*> others;
-        for (Instance* i : who->holds)
+        for (Instance* i : sender->heldInstances)
             if (!namedHeld.count(i)) others.push_back(i);
-        for (Instance* i : others) st.heldNow(now, i, *i->share(who), 0, 0, sync);
+        for (Instance* i : others) st.applyHeld(now, i, *i->findAllocation(sender), 0, 0, isFirstFullReport);
     }
-    std::set<Service*, Elder> namedDemand;
+    std::set<Service*, CreationOrder> namedDemand;
     for (const auto& d : report.demands) {
-        Service* s = st.serviceOf(now, d.service);
-        Use* u = st.useOf(now, s, who);
-        st.arrived(now, s, *u, d, span);
-        st.setUses(*u, s, d.waiting, d.busy);
-        if (d.waiting + d.busy > 0) s->lastCall = now;
+        Service* s = st.findOrAddService(now, d.service);
+        SenderDemand* u = st.findOrAddDemand(now, s, sender);
+        st.recordArrivals(now, s, *u, d, span);
+        st.setDemand(*u, s, d.waiting, d.busy);
+        if (d.waiting + d.busy > 0) s->lastCallAt = now;
         s->peakBusy = std::max(s->peakBusy, double(s->busy));
-        if (report.whole) namedDemand.insert(s);
-        if (d.waiting > 0) st.mark(s);
-    }
-    if (report.whole)
-        for (Service* s : who->uses)
-            if (!namedDemand.count(s)) st.setUses(s->uses[who], s, 0, 0);
-    if (report.leaving)
-        for (Instance* i : who->holds) {
-            Share* s = i->share(who);
-            if (s && s->told > s->busy && s->canLower()) st.setTold(now, i, *s, s->busy);
+        if (report.isFull) namedDemand.insert(s);
+        if (d.waiting > 0) st.markDirty(s);
+    }
+    if (report.isFull)
+        for (Service* s : sender->services)
+            if (!namedDemand.count(s)) st.setDemand(s->demands[sender], s, 0, 0);
+    if (report.isLeaving)
+        for (Instance* i : sender->heldInstances) {
+            Allocation* s = i->findAllocation(sender);
+            if (s && s->granted > s->busy && s->canDecrease()) st.setGranted(now, i, *s, s->busy);
         }
     for (const auto& id : report.up) {
         auto it = st.instances.find(id);
         if (it == st.instances.end()) continue;
-        it->second->voter = nullptr;
-        st.cameUp(now, it->second.get());
+        it->second->suspectedBy = nullptr;
+        st.markUp(now, it->second.get());
     }
-    for (const auto& id : report.dead) {
+    for (const auto& id : report.unreachable) {
         auto it = st.instances.find(id);
         if (it == st.instances.end()) continue;
         Instance* i = it->second.get();
         if (i->phase == Phase::gone) continue;
         // Until it is up a refusal is what a boot looks like; listed() ends boots that last too long.
         if (i->phase == Phase::booting) continue;
-        bool again = i->voter && (i->voter != who || now - i->votedAt >= st.tuning.voteGap);
+        bool again = i->suspectedBy &&
+                     (i->suspectedBy != sender || now - i->suspectedAt >= st.tuning.minRepeatReportGap);
         if (again) {
-            st.drop(now, i, true);
-        } else if (!i->voter) {
-            i->voter = who;
-            i->votedAt = now;
+            st.markGone(now, i, true);
+        } else if (!i->suspectedBy) {
+            i->suspectedBy = sender;
+            i->suspectedAt = now;
         }
     }
-    st.passSoon(now);
+    st.schedulePass(now);
 }
 
-void Planner::unlinked(Instant now, const SenderId& sender, bool closed) {
+void Planner::onSenderUnlinked(Instant now, const SenderId& senderId, bool closed) {
     State& st = *state_;
-    auto it = st.senders.find(sender);
+    auto it = st.senders.find(senderId);
     if (it == st.senders.end()) return;
-    Sender* who = it->second.get();
+    Sender* sender = it->second.get();
     if (closed) {
-        st.endSender(now, who, st.tuning.freeAfterClose);
-    } else if (who->linked) {
-        st.purge(who);
-        who->linked = who->synced = false;
-        who->freeAt = now + st.tuning.freeAfterSilence;
-        for (Service* s : who->uses) st.setUses(s->uses[who], s, 0, 0);
-    }
-    st.passSoon(now);
+        st.removeSender(now, sender, st.tuning.freeAfterClose);
+    } else if (sender->isLinked) {
+        st.discardUnsent(sender);
+        sender->isLinked = sender->isSynced = false;
+        sender->slotsFreeAt = now + st.tuning.freeAfterSilence;
+        for (Service* s : sender->services) st.setDemand(s->demands[sender], s, 0, 0);
+    }
+    st.schedulePass(now);
 }
 
-void Planner::listed(Instant now, std::vector<Listed> list) {
+void Planner::onInstanceList(Instant now, std::vector<ListedInstance> list) {
     State& st = *state_;
-    st.listedYet = true;
+    st.hasInstanceList = true;
     std::unordered_set<std::string> named;
     for (auto& l : list) {
         named.insert(l.instance);
         auto it = st.instances.find(l.instance);
         Instance* i;
         if (it == st.instances.end()) {
-            i = st.adopt(now, l.instance, l.service, l.address);
-            ++st.counts.adopted;
+            i = st.addInstance(now, l.instance, l.service, l.address);
+            ++st.counters.adopted;
         } else {
             i = it->second.get();
         }
@@ -1283,17 +1325,17 @@
         i->zone = l.zone;
         i->worker = l.worker;
         if (l.slots > 0) i->slots = uint32_t(l.slots);
-        i->listedOnce = true;
-        i->missed = 0;
+        i->wasListed = true;
+        i->missedLists = 0;
         if (i->phase == Phase::gone) {
-            if (!i->stopSent && now >= i->goneAt + st.tuning.stopIfStillListed) st.closing.insert(i);
+            if (!i->isStopSent && now >= i->goneAt + st.tuning.stopIfListedAfter) st.closing.insert(i);
             continue;
         }
         if (l.draining)
-            st.drain(now, i);
+            st.markDraining(now, i);
         else
-            st.cameUp(now, i);
-        st.mark(i->service);
+            st.markUp(now, i);
+        st.markDirty(i->service);
     }
     std::vector<Instance*> lost;
     for (auto& [id, i] : st.instances) {
@@ -1305,107 +1347,108 @@
         // One that a sender called up is on the list within its lag. An instance that died as the duty
         // changed hands was adopted from reports and kept for seconds though no list named it, and nothing
         // was started.
-        bool due = i->listedOnce ||
-                   (i->phase != Phase::booting && now > i->upAt + st.listLag * 1.5 + Span::millis(300)) ||
-                   (i->phase == Phase::booting && now >= st.bootOver(i.get()));
+        bool isOverdue =
+            i->wasListed ||
+            (i->phase != Phase::booting && now > i->upSince + st.listLag * 1.5 + Span::millis(300)) ||
+            (i->phase == Phase::booting && now >= st.bootDeadline(i.get()));
         // One list without it may be older than the last one that had it.
-        if (due && ++i->missed >= 2) lost.push_back(i.get());
+        if (isOverdue && ++i->missedLists >= 2) lost.push_back(i.get());
     }
     for (Instance* i : lost) {
         // A start that did not come up is stopped as well, lest it cost without end. The clock alone is no
         // judge: a holder that slept, or whose lists come seldom, stopped instances at work of which it had
         // not heard. Harm: a start that failed without a word is made good a list or two later.
         const bool boots = i->phase == Phase::booting;
-        st.drop(now, i, i->phase != Phase::draining && i->phase != Phase::stopping);
-        if (boots) st.closing.insert(i), i->stopAt = now;
+        st.markGone(now, i, i->phase != Phase::draining && i->phase != Phase::stopping);
+        if (boots) st.closing.insert(i), i->nextStopAt = now;
     }
-    st.passSoon(now);
+    st.schedulePass(now);
 }
 
-void Planner::workers(Instant now, std::vector<Worker> workers) {
+void Planner::onWorkerList(Instant now, std::vector<Worker> workers) {
     State& st = *state_;
     std::unordered_set<std::string> named;
     for (auto& w : workers) {
         named.insert(w.name);
-        Node& n = st.nodes[w.name];
-        n.seen = w;
-        n.missed = 0;
-        std::erase_if(n.taken, [&](const auto& t) { return t.first + st.listLag < now; });
+        WorkerState& n = st.workers[w.name];
+        n.reported = w;
+        n.missedLists = 0;
+        std::erase_if(n.reservedMemory, [&](const auto& t) { return t.first + st.listLag < now; });
     }
     std::unordered_set<std::string> down;
-    for (auto it = st.nodes.begin(); it != st.nodes.end();) {
-        if (!named.count(it->first) && ++it->second.missed >= 2) {
+    for (auto it = st.workers.begin(); it != st.workers.end();) {
+        if (!named.count(it->first) && ++it->second.missedLists >= 2) {
             down.insert(it->first);
-            it = st.nodes.erase(it);
+            it = st.workers.erase(it);
         } else {
             ++it;
         }
     }
     if (!down.empty())  // a worker that is down has taken its instances with it
         for (auto& [id, i] : st.instances)
-            if (i->phase != Phase::gone && down.count(i->worker)) st.drop(now, i.get(), true);
+            if (i->phase != Phase::gone && down.count(i->worker)) st.markGone(now, i.get(), true);
     for (auto& [name, s] : st.services)
-        if (s->waiting > 0) st.mark(s.get());
-    st.passSoon(now);
+        if (s->waiting > 0) st.markDirty(s.get());
+    st.schedulePass(now);
 }
 
-void Planner::started(Instant now, const std::string& nonce, std::string instance, std::string address) {
+void Planner::onStarted(Instant now, const std::string& nonce, std::string instance, std::string address) {
     State& st = *state_;
-    auto it = st.starts.find(nonce);
-    if (it == st.starts.end()) return;  // given up: the list will show it
-    Start start = it->second;
-    st.endStart(nonce);
+    auto it = st.pendingStarts.find(nonce);
+    if (it == st.pendingStarts.end()) return;  // given up: the list will show it
+    PendingStart start = it->second;
+    st.removeStart(nonce);
     if (!st.instances.count(instance)) {
-        Instance* i = st.adopt(now, instance, start.service->spec.name, address);
+        Instance* i = st.addInstance(now, instance, start.service->spec.name, address);
         i->startedAt = start.at;
         i->worker = start.worker;
-        if (auto n = st.nodes.find(start.worker); n != st.nodes.end()) i->zone = n->second.seen.zone;
+        if (auto n = st.workers.find(start.worker); n != st.workers.end()) i->zone = n->second.reported.zone;
     }
-    st.passSoon(now);
+    st.schedulePass(now);
 }
 
-void Planner::startFailed(Instant now, const std::string& nonce, int status) {
+void Planner::onStartFailed(Instant now, const std::string& nonce, int status) {
     State& st = *state_;
-    auto it = st.starts.find(nonce);
-    if (it == st.starts.end()) return;
-    Start& start = it->second;
+    auto it = st.pendingStarts.find(nonce);
+    if (it == st.pendingStarts.end()) return;
+    PendingStart& start = it->second;
     Service* s = start.service;
     if (status == 0) {
         // It may have happened: only the same nonce on the same worker cannot make a second one.
-        start.retryAt = now + st.tuning.tryAgain * double(1 << std::min(start.tries, 3));
-        ++start.tries;
-        st.passSoon(now);
+        start.retryAt = now + st.tuning.retryDelay * double(1 << std::min(start.attempts, 3));
+        ++start.attempts;
+        st.schedulePass(now);
         return;
     }
-    ++st.counts.startsFailed;
-    if (auto n = st.nodes.find(start.worker); n != st.nodes.end()) {
-        if (status == 409) n->second.fullUntil = now + st.tuning.workerFull;
-        std::erase_if(n->second.taken,
+    ++st.counters.startsFailed;
+    if (auto n = st.workers.find(start.worker); n != st.workers.end()) {
+        if (status == 409) n->second.fullUntil = now + st.tuning.workerFullTime;
+        std::erase_if(n->second.reservedMemory,
                       [&](const auto& t) { return t.first == start.at && t.second == s->spec.memoryMb; });
     }
     if (status == 429) st.tokens = 0;
     if (status == 400)
-        s->blockedUntil = now + st.tuning.blockedUnknown;
+        s->startsBlockedUntil = now + st.tuning.unknownServiceBlockedTime;
     else if (status != 409)
-        s->blockedUntil = now + st.tuning.tryAgain;
-    st.endStart(nonce);
-    st.passSoon(now);
+        s->startsBlockedUntil = now + st.tuning.retryDelay;
+    st.removeStart(nonce);
+    st.schedulePass(now);
 }
 
-void Planner::stopped(Instant now, const std::string& instance, int status) {
+void Planner::onStopped(Instant now, const std::string& instance, int status) {
     State& st = *state_;
     auto it = st.instances.find(instance);
     if (it == st.instances.end()) return;
     Instance* i = it->second.get();
     if (status == 200 || status == 404) {
         st.closing.erase(i);
-        st.drop(now, i, false);
+        st.markGone(now, i, false);
     } else {
-        i->stopAt = now + st.tuning.tryAgain;
-        i->stopSent = false;
+        i->nextStopAt = now + st.tuning.retryDelay;
+        i->isStopSent = false;
         if (status == 429) st.tokens = 0;
     }
-    st.passSoon(now);
+    st.schedulePass(now);
 }
 
 void Planner::tick(Instant now) { state_->tick(now); }
@@ -1413,25 +1456,26 @@
 Instant Planner::wakeAt() const {
     const State& st = *state_;
     // Out of tokens: look again as soon as a few are there, not a whole tick later.
-    return std::min(st.lastTick + (st.starved ? st.tuning.tick * 0.25 : st.tuning.tick), st.ghostAt);
+    return std::min(st.lastTick + (st.isOutOfTokens ? st.tuning.tickInterval * 0.25 : st.tuning.tickInterval),
+                    st.nextReservationEnd);
 }
 
 std::optional<Output> Planner::next() {
     State& st = *state_;
-    if (st.passDue) st.pass(st.passAt);
-    if (st.out.empty()) return std::nullopt;
-    Output o = std::move(st.out.front());
-    st.out.pop_front();
+    if (st.isPassDue) st.runPass(st.passTime);
+    if (st.outputs.empty()) return std::nullopt;
+    Output o = std::move(st.outputs.front());
+    st.outputs.pop_front();
     return o;
 }
 
-const Counts& Planner::counts() const { return state_->counts; }
+const Counters& Planner::counters() const { return state_->counters; }
 
-std::vector<ServiceState> Planner::services() const {
+std::vector<ServiceState> Planner::serviceStates() const {
     std::vector<ServiceState> out;
     for (const auto& [name, s] : state_->services) {
         ServiceState one;
-        one.name = name, one.waiting = s->waiting, one.busy = s->busy, one.booting = s->pending;
+        one.name = name, one.waiting = s->waiting, one.busy = s->busy, one.booting = s->pendingStartCount;
         for (const Instance* i : s->instances) {
             if (i->phase == Phase::up)
                 ++one.up, one.slots += i->slots;
--- a/system/scaler/planner.hpp
+++ b/system/scaler/planner.hpp
@@ -27,11 +27,11 @@
 struct FunctionSpec {
     std::string name;
     int memoryMb = 0;        // of one instance
-    Span boot;               // mean time of a start
+    Span bootTime;           // mean time of a start
     int maxConcurrency = 1;  // slots of one instance
-    Span target;             // least target latency of its routes
+    Span targetLatency;      // least target latency of its routes
 };
-struct Listed {
+struct ListedInstance {
     std::string instance, service, address, zone, worker;
     int slots = 0;
     bool draining = false;
@@ -48,17 +48,17 @@
 struct StopCall {
     std::string instance;
 };
-struct Tell {
+struct GrantsMessage {
     SenderId to;
     Grants grants;
 };
-using Output = std::variant<StartCall, StopCall, Tell>;
+using Output = std::variant<StartCall, StopCall, GrantsMessage>;
 
 // What happened since construction, for the log.
-struct Counts {
-    uint64_t starts = 0, startsFailed = 0, stops = 0, tells = 0, recalls = 0;
-    uint64_t adopted = 0, lost = 0, drained = 0, wrongTerm = 0, overheld = 0, lent = 0;
-    uint64_t searches = 0;  // for a free slot, each through all shares of a service
+struct Counters {
+    uint64_t starts = 0, startsFailed = 0, stops = 0, grantMessages = 0, recalledSlots = 0;
+    uint64_t adopted = 0, lost = 0, drained = 0, wrongTerm = 0, overcommitted = 0, reassignedSlots = 0;
+    uint64_t slotSearches = 0;  // for a free slot, each through all shares of a service
     uint64_t instances = 0, booting = 0, slots = 0, waiting = 0;  // of now, as of the last tick
 };
 
@@ -83,34 +83,36 @@
   public:
     // dutyPerS: starts and stops that the platform takes a second from all; listLag: the most by which the
     // lists of instances and workers are behind.
-    Planner(Instant now, uint64_t term, uint32_t chance, double dutyPerS, Span listLag);
+    Planner(Instant now, uint64_t term, uint32_t randomSeed, double maxCallsPerSecond, Span listLag);
     ~Planner();
     Planner(Planner&&) noexcept;
     Planner& operator=(Planner&&) noexcept;
 
-    void configured(Instant now, std::vector<FunctionSpec> functions);  // all of them; services come and go
+    void onConfiguration(Instant now,
+                         std::vector<FunctionSpec> functions);  // all of them; services come and go
     // The same holder won again under a higher term, without another between: what it knows stays.
-    void renewed(Instant now, uint64_t term);
-    void linked(Instant now, const SenderId& sender, const std::string& zone);
-    void reported(Instant now, const SenderId& sender, const Report& report);  // of another term: ignored
+    void onTermRenewed(Instant now, uint64_t term);
+    void onSenderLinked(Instant now, const SenderId& senderId, const std::string& zone);
+    void onReport(Instant now, const SenderId& senderId, const Report& report);  // of another term: ignored
     // closed: its process ended (reset or close); else it is silent and may still use its slots for a while.
-    void unlinked(Instant now, const SenderId& sender, bool closed);
-    void behind(Instant now);  // reports wait unread: nobody is late by what was not heard
-    void listed(Instant now, std::vector<Listed> list);  // the whole list, all pages
-    void workers(Instant now, std::vector<Worker> workers);
-    void started(Instant now, const std::string& nonce, std::string instance, std::string address);
+    void onSenderUnlinked(Instant now, const SenderId& senderId, bool closed);
+    void onReportBacklog(Instant now);  // reports wait unread: nobody is late by what was not heard
+    void onInstanceList(Instant now, std::vector<ListedInstance> list);  // the whole list, all pages
+    void onWorkerList(Instant now, std::vector<Worker> workers);
+    void onStarted(Instant now, const std::string& nonce, std::string instance, std::string address);
     // 409, 429, 400 as the platform said; 0: no answer (the start may have happened).
-    void startFailed(Instant now, const std::string& nonce, int status);
+    void onStartFailed(Instant now, const std::string& nonce, int status);
     // 200 and 404: gone; 429: too fast; 0: no answer. The last two are tried again.
-    void stopped(Instant now, const std::string& instance, int status);
+    void onStopped(Instant now, const std::string& instance, int status);
 
     void tick(Instant now);
-    bool ready() const;  // what the senders hold is known: slots are given out, instances started
+    bool isReady() const;  // what the senders hold is known: slots are given out, instances started
     Instant wakeAt() const;
     std::optional<Output> next();
 
-    const Counts& counts() const;
-    std::vector<ServiceState> services() const;  // goes through all instances: for a question now and then
+    const Counters& counters() const;
+    std::vector<ServiceState> serviceStates()
+        const;  // goes through all instances: for a question now and then
 
   private:
     struct State;
--- a/system/scaler/planner_test.cpp
+++ b/system/scaler/planner_test.cpp
@@ -19,33 +19,33 @@
     Planner planner{now, 7, 1, 150, ms(800)};
     std::vector<StartCall> starts;
     std::vector<StopCall> stops;
-    std::vector<Tell> tells;
+    std::vector<GrantsMessage> tells;
     std::map<std::pair<SenderId, std::string>, uint32_t> told;  // last number by sender and instance
 
     explicit Bench(int slots = 2, int targetMs = 400) {
-        planner.configured(now, {{"f", 128, ms(900), slots, ms(targetMs)}});
-        planner.workers(
+        planner.onConfiguration(now, {{"f", 128, ms(900), slots, ms(targetMs)}});
+        planner.onWorkerList(
             now,
             {{"w1", "a", 4096, 4096, false}, {"w2", "b", 4096, 4096, false}, {"w3", "b", 4096, 4096, false}});
-        planner.listed(now, {});
+        planner.onInstanceList(now, {});
         for (const char* s : {"s1", "s2"}) {
-            planner.linked(now, s, s == std::string("s1") ? "a" : "b");
-            planner.reported(now, s, whole());
+            planner.onSenderLinked(now, s, s == std::string("s1") ? "a" : "b");
+            planner.onReport(now, s, whole());
         }
         wait(600);
     }
     Report whole() {
         Report r;
         r.term = 7;
-        r.whole = true;
-        r.spanMs = 100;
+        r.isFull = true;
+        r.intervalMs = 100;
         return r;
     }
     void pull() {
         while (auto o = planner.next()) {
             if (auto* s = std::get_if<StartCall>(&*o)) starts.push_back(*s);
             if (auto* s = std::get_if<StopCall>(&*o)) stops.push_back(*s);
-            if (auto* t = std::get_if<Tell>(&*o)) {
+            if (auto* t = std::get_if<GrantsMessage>(&*o)) {
                 for (auto& g : t->grants.grants) told[{t->to, g.instance}] = g.slots;
                 tells.push_back(*t);
             }
@@ -59,23 +59,23 @@
         }
     }
     void list(std::vector<std::pair<std::string, bool>> ids, int slots = 2, const char* worker = "w1") {
-        std::vector<Listed> l;
+        std::vector<ListedInstance> l;
         for (auto& [id, draining] : ids) l.push_back({id, "f", "x:" + id, "a", worker, slots, draining});
-        planner.listed(now, l);
+        planner.onInstanceList(now, l);
         pull();
     }
     void report(const SenderId& s, uint32_t waiting, uint32_t busy, uint32_t arrived,
-                std::vector<Held> held = {}, std::vector<std::string> dead = {}) {
+                std::vector<HeldSlots> held = {}, std::vector<std::string> dead = {}) {
         Report r;
         r.term = 7;
-        r.spanMs = 100;
+        r.intervalMs = 100;
         r.demands = {{"f", waiting, busy, waiting + busy, arrived, 80'000}};
         r.held = std::move(held);
-        r.dead = std::move(dead);
-        planner.reported(now, s, r);
+        r.unreachable = std::move(dead);
+        planner.onReport(now, s, r);
         pull();
     }
-    Held held(const std::string& id, uint32_t slots, uint32_t busy) {
+    HeldSlots held(const std::string& id, uint32_t slots, uint32_t busy) {
         return {id, "f", "x:" + id, slots, busy};
     }
 };
@@ -86,7 +86,7 @@
     ASSERT_EQ(b.starts.size(), 1u);
     EXPECT_EQ(b.starts[0].worker, "w1");  // the zone of the demand
     EXPECT_LE(b.starts[0].nonce.size(), 64u);
-    b.planner.started(b.now, b.starts[0].nonce, "i1", "x:i1");
+    b.planner.onStarted(b.now, b.starts[0].nonce, "i1", "x:i1");
     b.pull();
     EXPECT_EQ((b.told[{"s1", "i1"}]), 1u);
     ASSERT_FALSE(b.tells.empty());
@@ -109,9 +109,9 @@
     size_t before = b.tells.size();
     for (uint32_t waiting : {1, 2, 3}) {
         Report r;
-        r.term = 7, r.spanMs = 10;
+        r.term = 7, r.intervalMs = 10;
         r.demands = {{"f", waiting, 0, waiting, 1, 80'000}};
-        b.planner.reported(b.now, "s1", r);
+        b.planner.onReport(b.now, "s1", r);
     }
     b.pull();
     ASSERT_EQ(b.tells.size(), before + 1);
@@ -126,14 +126,14 @@
     b.report("s1", 1, 0, 1);
     b.report("s1", 0, 1, 0, {b.held("i1", 1, 1)});
     for (int i = 3; i < 63; ++i) {
-        b.planner.linked(b.now, "s" + std::to_string(i), "b");
-        b.planner.reported(b.now, "s" + std::to_string(i), b.whole());
+        b.planner.onSenderLinked(b.now, "s" + std::to_string(i), "b");
+        b.planner.onReport(b.now, "s" + std::to_string(i), b.whole());
     }
-    const uint64_t before = b.planner.counts().searches;
+    const uint64_t before = b.planner.counters().slotSearches;
     for (int i = 3; i < 63; ++i) b.report("s" + std::to_string(i), 2, 0, 2);
-    EXPECT_EQ(b.planner.counts().searches, before);
+    EXPECT_EQ(b.planner.counters().slotSearches, before);
     b.report("s1", 0, 0, 0, {b.held("i1", 0, 0)});  // and one that comes free is found
-    EXPECT_GT(b.planner.counts().searches, before);
+    EXPECT_GT(b.planner.counters().slotSearches, before);
 }
 
 TEST(Planner, anIdleSlotIsAskedBackAndPassedOnOnlyOnceGivenBack) {
@@ -165,7 +165,7 @@
         b.list({{"i1", false}}, 1);
         b.report("s1", 1, 0, 1);
         b.report("s1", 0, 1, 0, {b.held("i1", 1, 1)});
-        b.planner.unlinked(b.now, "s1", closed);
+        b.planner.onSenderUnlinked(b.now, "s1", closed);
         b.report("s2", 1, 0, 1);
         EXPECT_EQ((b.told.count({"s2", "i1"})), 0u);
         b.wait(400);
@@ -229,7 +229,7 @@
     b.report("s1", 1, 0, 1);
     b.report("s1", 0, 0, 0, {b.held("i1", 1, 0)});
     b.report("s2", 1, 0, 1);
-    for (int i = 0; i < 10; ++i) b.planner.behind(b.now), b.wait(100);
+    for (int i = 0; i < 10; ++i) b.planner.onReportBacklog(b.now), b.wait(100);
     EXPECT_EQ((b.told.count({"s2", "i1"})), 0u);
     b.wait(1500);  // no longer, and still no word
     EXPECT_EQ((b.told[{"s2", "i1"}]), 1u);
@@ -240,7 +240,7 @@
     b.list({{"i1", false}});
     b.report("s1", 2, 0, 2);
     b.report("s1", 0, 2, 0, {b.held("i1", 2, 2)});
-    b.planner.unlinked(b.now, "s1", false);
+    b.planner.onSenderUnlinked(b.now, "s1", false);
     EXPECT_TRUE(b.starts.empty());
     b.report("s2", 1, 0, 1);
     EXPECT_EQ(b.starts.size(), 1u);
@@ -252,7 +252,7 @@
     Bench b(2, 1000);
     b.report("s1", 1, 0, 1);
     ASSERT_EQ(b.starts.size(), 1u);
-    b.planner.started(b.now, b.starts[0].nonce, "i1", "x:i1");
+    b.planner.onStarted(b.now, b.starts[0].nonce, "i1", "x:i1");
     b.pull();
     b.report("s1", 0, 0, 0, {b.held("i1", 1, 0)});
     b.wait(9000);  // its boot is 900 ms
@@ -287,11 +287,11 @@
     b.report("s1", 0, 0, 0, {b.held("i1", 1, 0)});
     const auto last = [&] { return b.tells.back().grants.grants.back(); };
     EXPECT_EQ(last().service, "f");
-    EXPECT_FALSE(last().ends);
+    EXPECT_FALSE(last().isEnding);
     b.list({{"i1", true}});
     EXPECT_EQ(last().instance, "i1");
     EXPECT_EQ(last().slots, 0u);
-    EXPECT_TRUE(last().ends);
+    EXPECT_TRUE(last().isEnding);
     EXPECT_TRUE(last().service.empty() && last().address.empty());
 }
 
@@ -299,15 +299,15 @@
 TEST(Planner, anUnknownInstanceWithoutItsServiceIsNotAdopted) {
     Bench b;
     b.report("s1", 0, 0, 0, {{"i9", "", "", 1, 1}});
-    EXPECT_EQ(b.planner.counts().adopted, 0u);
+    EXPECT_EQ(b.planner.counters().adopted, 0u);
     b.report("s1", 0, 0, 0, {b.held("i9", 1, 1)});
-    EXPECT_EQ(b.planner.counts().adopted, 1u);
+    EXPECT_EQ(b.planner.counters().adopted, 1u);
 }
 
 TEST(Planner, aCrashIsBelievedAtTheSecondWordAndNotWhileItBoots) {
     Bench b;
     b.report("s1", 1, 0, 1);
-    b.planner.started(b.now, b.starts.at(0).nonce, "i1", "x:i1");
+    b.planner.onStarted(b.now, b.starts.at(0).nonce, "i1", "x:i1");
     b.pull();
     b.report("s1", 1, 0, 0, {b.held("i1", 1, 0)}, {"i1"});
     b.report("s2", 0, 0, 0, {}, {"i1"});
@@ -360,7 +360,7 @@
     EXPECT_TRUE(b.stops.empty());
     b.report("s1", 0, 0, 0, {b.held("i1", 0, 0)});
     ASSERT_EQ(b.stops.size(), 1u);
-    b.planner.stopped(b.now, "i1", 200);
+    b.planner.onStopped(b.now, "i1", 200);
     b.wait(6000);
     EXPECT_EQ(b.stops.size(), 1u);
 }
@@ -369,12 +369,12 @@
     Bench b;
     b.report("s1", 1, 0, 1);
     ASSERT_EQ(b.starts.size(), 1u);
-    b.planner.startFailed(b.now, b.starts[0].nonce, 409);
+    b.planner.onStartFailed(b.now, b.starts[0].nonce, 409);
     b.pull();
     ASSERT_EQ(b.starts.size(), 2u);
     EXPECT_NE(b.starts[0].worker, b.starts[1].worker);
     EXPECT_NE(b.starts[0].nonce, b.starts[1].nonce);
-    b.planner.startFailed(b.now, b.starts[1].nonce, 0);
+    b.planner.onStartFailed(b.now, b.starts[1].nonce, 0);
     b.wait(500);
     ASSERT_EQ(b.starts.size(), 3u);
     EXPECT_EQ(b.starts[1].nonce, b.starts[2].nonce);
@@ -386,31 +386,31 @@
     Report r = b.whole();
     r.term = 6;
     r.demands = {{"f", 5, 0, 5, 5, 0}};
-    b.planner.reported(b.now, "s1", r);
+    b.planner.onReport(b.now, "s1", r);
     b.pull();
     EXPECT_TRUE(b.starts.empty());
-    EXPECT_EQ(b.planner.counts().wrongTerm, 1u);
+    EXPECT_EQ(b.planner.counters().wrongTerm, 1u);
 }
 
 TEST(Planner, aNewHolderListensBeforeItGives) {
     Instant now = Instant::atMicros(0);
     Planner p(now, 8, 1, 150, ms(800));
-    p.configured(now, {{"f", 128, ms(900), 1, ms(400)}});
-    p.listed(now, {{"i1", "f", "x", "a", "w", 1, false}});
+    p.onConfiguration(now, {{"f", 128, ms(900), 1, ms(400)}});
+    p.onInstanceList(now, {{"i1", "f", "x", "a", "w", 1, false}});
     Report r;
     r.term = 8;
-    r.whole = true;
+    r.isFull = true;
     r.demands = {{"f", 1, 0, 1, 1, 0}};
-    p.linked(now, "s1", "a");
-    p.reported(now, "s1", r);
+    p.onSenderLinked(now, "s1", "a");
+    p.onReport(now, "s1", r);
     EXPECT_FALSE(p.next());
     r.demands = {{"f", 0, 1, 1, 1, 0}};
     r.held = {{"i1", "f", "x", 1, 1}};
-    p.linked(now, "s2", "a");
-    p.reported(now + ms(100), "s2", r);
+    p.onSenderLinked(now, "s2", "a");
+    p.onReport(now + ms(100), "s2", r);
     p.tick(now + ms(500));
     while (auto o = p.next()) {
-        auto* t = std::get_if<Tell>(&*o);
+        auto* t = std::get_if<GrantsMessage>(&*o);
         if (!t) continue;
         for (auto& g : t->grants.grants) EXPECT_EQ(g.slots, 0u) << t->to;  // only s2 may have it
     }
@@ -420,22 +420,22 @@
 TEST(Planner, WhatDiedBeforeTheDutyChangedHandsIsLostByTheList) {
     Instant now = Instant::atMicros(1'000'000);
     Planner p(now, 7, 1, 150, ms(800));
-    p.configured(now, {{"f", 128, ms(900), 1, ms(1500)}});
-    p.workers(now, {{"w1", "a", 4096, 4096, false}});
-    p.linked(now, "s1", "a");
+    p.onConfiguration(now, {{"f", 128, ms(900), 1, ms(1500)}});
+    p.onWorkerList(now, {{"w1", "a", 4096, 4096, false}});
+    p.onSenderLinked(now, "s1", "a");
     Report r;
-    r.term = 7, r.whole = true, r.spanMs = 100;
+    r.term = 7, r.isFull = true, r.intervalMs = 100;
     r.held = {{"dead", "f", "x:1", 1, 0}};
     r.up = {"dead"};
     r.demands = {{"f", 1, 0, 1, 1, 0}};
-    p.reported(now, "s1", r);
+    p.onReport(now, "s1", r);
     bool takenBack = false, started = false;
     for (int i = 0; i < 4; ++i) {
-        p.listed(now, {});
+        p.onInstanceList(now, {});
         p.tick(now);
         while (auto o = p.next()) {
             started |= std::holds_alternative<StartCall>(*o);
-            if (auto* t = std::get_if<Tell>(&*o))
+            if (auto* t = std::get_if<GrantsMessage>(&*o))
                 for (const auto& g : t->grants.grants) takenBack |= g.instance == "dead" && g.slots == 0;
         }
         now = now + ms(800);
@@ -447,16 +447,16 @@
 // The same holder under a higher term knows what it knew; it gives nothing before the senders' new reports.
 TEST(Planner, AHolderThatIsVotedForAgainKeepsWhatItKnows) {
     Bench b(2, 1500);
-    b.planner.listed(b.now, {{"i1", "f", "x:1", "a", "w1", 2, false}});
-    b.planner.renewed(b.now, 9);
+    b.planner.onInstanceList(b.now, {{"i1", "f", "x:1", "a", "w1", 2, false}});
+    b.planner.onTermRenewed(b.now, 9);
     b.tells.clear();
     Report r = b.whole();
     r.demands = {{"f", 1, 0, 1, 1, 0}};
-    b.planner.reported(b.now, "s1", r);  // still of the former term
+    b.planner.onReport(b.now, "s1", r);  // still of the former term
     b.wait(10);
     EXPECT_TRUE(b.tells.empty());
     r.term = 9;
-    b.planner.reported(b.now, "s1", r);
+    b.planner.onReport(b.now, "s1", r);
     b.wait(10);
     ASSERT_FALSE(b.tells.empty());
     EXPECT_EQ(b.tells.back().grants.term, 9u);
@@ -467,8 +467,8 @@
 TEST(Planner, aServiceThatBootsLongerThanItsAimHasOneInstanceBeforeItsFirstCall) {
     Bench b(2, 400);
     ASSERT_EQ(b.starts.size(), 1u);
-    b.planner.started(b.now, b.starts[0].nonce, "i1", "x:1");
-    b.planner.listed(b.now, {{"i1", "f", "x:1", "a", "w1", 2, false}});
+    b.planner.onStarted(b.now, b.starts[0].nonce, "i1", "x:1");
+    b.planner.onInstanceList(b.now, {{"i1", "f", "x:1", "a", "w1", 2, false}});
     b.wait(5000);
     EXPECT_EQ(b.starts.size(), 1u);
     EXPECT_TRUE(b.stops.empty());
@@ -481,19 +481,20 @@
 TEST(Planner, aRareFunctionsWorkIsLearnedFromThoseConfiguredAlike) {
     Instant now = Instant::atMicros(1'000'000);
     Planner p(now, 7, 1, 150, ms(800));
-    p.configured(now, {{"rare", 128, ms(900), 1, ms(1500)}, {"busy", 128, ms(900), 1, ms(1500)}});
-    p.workers(now, {{"w1", "a", 4096, 4096, false}});
-    p.listed(now, {{"i1", "rare", "x", "a", "w1", 1, false}, {"i2", "busy", "y", "a", "w1", 1, false}});
-    p.linked(now, "s1", "a");
+    p.onConfiguration(now, {{"rare", 128, ms(900), 1, ms(1500)}, {"busy", 128, ms(900), 1, ms(1500)}});
+    p.onWorkerList(now, {{"w1", "a", 4096, 4096, false}});
+    p.onInstanceList(now,
+                     {{"i1", "rare", "x", "a", "w1", 1, false}, {"i2", "busy", "y", "a", "w1", 1, false}});
+    p.onSenderLinked(now, "s1", "a");
     Report r;
-    r.term = 7, r.whole = true, r.spanMs = 100;
-    p.reported(now, "s1", r);
+    r.term = 7, r.isFull = true, r.intervalMs = 100;
+    p.onReport(now, "s1", r);
     size_t rareStarts = 0;
     auto run = [&](std::vector<Demand> demands) {
         now = now + ms(200);
         Report each;
-        each.term = 7, each.spanMs = 200, each.demands = std::move(demands);
-        p.reported(now, "s1", each);
+        each.term = 7, each.intervalMs = 200, each.demands = std::move(demands);
+        p.onReport(now, "s1", each);
         p.tick(now);
         while (auto o = p.next()) {
             if (auto* s = std::get_if<StartCall>(&*o)) rareStarts += s->service == "rare";
@@ -553,8 +554,8 @@
     uint32_t dice(uint32_t n) { return rnd() % n; }
     void fresh() {
         planner = std::make_unique<Planner>(now, term, rnd(), 150, ms(300));
-        planner->configured(now, {{"f", 128, ms(400), int(slots), ms(300)}});
-        planner->workers(now, {{"w1", "a", 9000, 9000, false}, {"w2", "b", 9000, 9000, false}});
+        planner->onConfiguration(now, {{"f", 128, ms(400), int(slots), ms(300)}});
+        planner->onWorkerList(now, {{"w1", "a", 9000, 9000, false}, {"w2", "b", 9000, 9000, false}});
     }
     void link(const SenderId& id) {
         Agent& a = agents[id];
@@ -563,7 +564,7 @@
         a.linked = a.first = true;
         a.heard = false;
         a.back = a.silentAt = Instant::never();
-        planner->linked(now, id, id < "s2" ? "a" : "b");
+        planner->onSenderLinked(now, id, id < "s2" ? "a" : "b");
     }
     // Shrinks with the work, as the messages ask.
     static void obey(Agent& a, const Grant& g) {
@@ -575,13 +576,13 @@
     void send(Agent& a) {
         Report r;
         r.term = term;
-        r.whole = a.first;
+        r.isFull = a.first;
         a.first = false;
-        r.spanMs = 50;
+        r.intervalMs = 50;
         uint32_t busy = 0;
         for (auto& [id, h] : a.has) {
             busy += h.second;
-            bool tell = r.whole ? h.first > 0 : a.named.count(id) > 0;
+            bool tell = r.isFull ? h.first > 0 : a.named.count(id) > 0;
             if (tell) r.held.push_back({id, "f", "x", h.first, h.second});
         }
         a.named.clear();
@@ -595,8 +596,8 @@
             if (auto* s = std::get_if<StartCall>(&*o)) {
                 std::string id = "i" + std::to_string(++made);
                 live[id] = now + ms(300 + dice(200));
-                planner->started(now, s->nonce, id, "x");
-            } else if (auto* t = std::get_if<Tell>(&*o)) {
+                planner->onStarted(now, s->nonce, id, "x");
+            } else if (auto* t = std::get_if<GrantsMessage>(&*o)) {
                 Agent& a = agents[t->to];
                 if (!a.linked) continue;
                 Instant at = now + ms(1 + dice(60));
@@ -608,7 +609,7 @@
                     if (a.has.count(s->instance) && a.has[s->instance].second > 0) ++stopsInUse;
                 live.erase(s->instance);
                 ++stopped;
-                planner->stopped(now, s->instance, 200);
+                planner->onStopped(now, s->instance, 200);
             }
         }
     }
@@ -647,8 +648,8 @@
             while (a.linked && !a.outbox.empty() && a.outbox.front().first <= now) {
                 Report r = a.outbox.front().second;
                 a.outbox.pop_front();
-                planner->reported(now, id, r);
-                a.heard |= r.whole && r.term == term;
+                planner->onReport(now, id, r);
+                a.heard |= r.isFull && r.term == term;
             }
         }
         uint32_t event = dice(400);
@@ -661,12 +662,12 @@
             a.linked = false;
             a.has.clear();
             a.may.clear();
-            planner->unlinked(now, victim->first, true);
+            planner->onSenderUnlinked(now, victim->first, true);
             a.back = now + ms(200 + dice(800));
         } else if (event == 1 && a.linked && a.heard && !still) {  // cut: uses on what it has, for a while
             // Not before its slots were heard of: nobody can reserve them, as with another holder below.
             a.linked = false;
-            planner->unlinked(now, victim->first, false);
+            planner->onSenderUnlinked(now, victim->first, false);
             a.back = now + ms(dice(8000));
             a.silentAt = now + ms(4900);
         } else if (event == 2 && k % 4 == 0 && std::none_of(agents.begin(), agents.end(), [&](const auto& x) {
@@ -683,17 +684,17 @@
         if (freezes && a.linked && now >= a.wakes && dice(100) == 0) {
             send(a);
             for (auto& [at, r] : a.outbox) {
-                planner->reported(now, victim->first, r);
-                a.heard |= r.whole && r.term == term;
+                planner->onReport(now, victim->first, r);
+                a.heard |= r.isFull && r.term == term;
             }
             a.outbox.clear();
             a.wakes = now + ms(100 + dice(2400));
         }
         if (k % 20 == 0) {
-            std::vector<Listed> l;
+            std::vector<ListedInstance> l;
             for (auto& [id, up] : live)
                 if (up <= now) l.push_back({id, "f", "x", "a", "w1", int(slots), false});
-            planner->listed(now, l);
+            planner->onInstanceList(now, l);
         }
         if (now >= planner->wakeAt()) planner->tick(now);
         pull();
@@ -711,7 +712,7 @@
             ASSERT_TRUE(s.sound()) << "seed " << seed << " step " << k;
         }
         EXPECT_EQ(s.stopsInUse, 0) << "seed " << seed;
-        if (s.freezes) lent += s.planner->counts().lent;
+        if (s.freezes) lent += s.planner->counters().reassignedSlots;
         granted += s.granted;
         made += s.made;
     }
