--- a/system/proxy/answer_model_test.cpp
+++ b/system/proxy/answer_model_test.cpp
@@ -96,8 +96,8 @@
     bool repeatable = false;
     Counts* counts = nullptr;
 
-    AnswerReading reading{1000};
-    ReadingDefect defect = ReadingDefect::none;
+    ResponseReader reading{1000};
+    ReaderDefect defect = ReaderDefect::none;
     std::vector<std::string> flight;  // on its way to the sender
     size_t arrived = 0;               // of these
     std::string in;                   // read from the socket, not taken yet
@@ -114,7 +114,7 @@
         counts->broken = why + ": " + script[0]->name + ", " + script[1]->name;
     }
     void connect() {
-        reading = AnswerReading(1000, defect);
+        reading = ResponseReader(1000, defect);
         flight.clear(), in.clear();
         arrived = 0;
         end = Behaviour::End::stays;
@@ -133,10 +133,10 @@
         }
         current = sent++;
     }
-    void conclude(Ending how, const network::HttpAnswer* got) {
+    void conclude(AttemptOutcome how, const network::HttpAnswer* got) {
         const auto request = static_cast<size_t>(current);
-        if (!mayHaveRun(how) && ran[request]) fail("taken not to have run");
-        const bool passes = how == Ending::passed || how == Ending::failed;
+        if (!mayHaveExecuted(how) && ran[request]) fail("taken not to have run");
+        const bool passes = how == AttemptOutcome::answered || how == AttemptOutcome::serverError;
         if (passes && got) {
             const auto id = got->head.field("X-Attempt-Id");
             if (!id || *id != idOf(current)) fail("an answer that belongs to another request");
@@ -151,14 +151,14 @@
             open = open && !ended && in.empty();
             return;
         }
-        const Expected expected{idOf(current), repeatable, false};
+        const ExpectedResponse expected{idOf(current), repeatable, false};
         const auto conclusion = reading.read(in, ended, expected);
         if (!conclusion) {
-            if (ended) conclude(Ending::broken, nullptr), open = false;
+            if (ended) conclude(AttemptOutcome::connectionBroken, nullptr), open = false;
             return;
         }
-        open = conclusion->answer && conclusion->keep;
-        conclude(conclusion->how, conclusion->answer.get());
+        open = conclusion->response && conclusion->isReusable;
+        conclude(conclusion->outcome, conclusion->response.get());
     }
 
     // Each thing that can happen next, from a copy.
@@ -197,7 +197,7 @@
         }
         if (current >= 0) {
             branch([](Play& p) {
-                p.conclude(Ending::silent, nullptr);
+                p.conclude(AttemptOutcome::timedOut, nullptr);
                 p.open = false;
             });
         }
@@ -209,7 +209,7 @@
     }
 };
 
-Counts exhaust(bool repeatable, ReadingDefect defect) {
+Counts exhaust(bool repeatable, ReaderDefect defect) {
     Counts counts;
     for (const Behaviour& first : behaviours()) {
         for (const Behaviour& second : behaviours()) {
@@ -226,7 +226,7 @@
 
 TEST(AnswerModel, NoInterleavingGivesAnAnswerToAnotherOrRunsAnythingTwice) {
     for (const bool repeatable : {false, true}) {
-        const Counts counts = exhaust(repeatable, ReadingDefect::none);
+        const Counts counts = exhaust(repeatable, ReaderDefect::none);
         EXPECT_EQ(counts.broken, "");
         EXPECT_GT(counts.states, 10000u);
         std::cout << (repeatable ? "repeatable: " : "once only: ") << counts.states << " states, "
@@ -234,25 +234,25 @@
     }
 }
 TEST(AnswerModel, AnIdThatIsNotCheckedIsCaught) {
-    EXPECT_NE(exhaust(false, ReadingDefect::trustsEveryId).broken, "");
+    EXPECT_NE(exhaust(false, ReaderDefect::acceptsAnyId).broken, "");
 }
 TEST(AnswerModel, AnAnswerThatWasCutAndPassedOnIsCaught) {
-    EXPECT_NE(exhaust(false, ReadingDefect::takesCutAnswers).broken, "");
+    EXPECT_NE(exhaust(false, ReaderDefect::acceptsTruncated).broken, "");
 }
 TEST(AnswerModel, ARefusalThatIsNoPromiseAndBelievedIsCaught) {
-    EXPECT_NE(exhaust(false, ReadingDefect::believesEveryRefusal).broken, "");
+    EXPECT_NE(exhaust(false, ReaderDefect::acceptsUnconfirmedRejection).broken, "");
 }
 // Where a request's own answer came twice the id of the next one tells them apart, and bytes that are no
 // answer spoil it; what this defect breaks is told by the conclusion itself.
 TEST(AnswerModel, AConnectionWithMoreThanOneAnswerIsNotKept) {
-    for (const ReadingDefect defect : {ReadingDefect::none, ReadingDefect::keepsAfterExcess}) {
-        AnswerReading reading(1000, defect);
+    for (const ReaderDefect defect : {ReaderDefect::none, ReaderDefect::reusesAfterExcess}) {
+        ResponseReader reading(1000, defect);
         std::string in;
         for (const std::string& piece : joined(success("first"), success("first"))) in += piece;
         const auto conclusion = reading.read(in, false, {"first", false, false});
         ASSERT_TRUE(conclusion);
-        EXPECT_EQ(conclusion->how, Ending::passed);
-        EXPECT_EQ(conclusion->keep, defect == ReadingDefect::keepsAfterExcess);
+        EXPECT_EQ(conclusion->outcome, AttemptOutcome::answered);
+        EXPECT_EQ(conclusion->isReusable, defect == ReaderDefect::reusesAfterExcess);
     }
 }
 
@@ -280,10 +280,10 @@
                     bytes.insert(at, bytes.substr(random() % bytes.size(), random() % 30));
             }
         }
-        AnswerReading reading(1000);
+        ResponseReader reading(1000);
         std::string in;
         size_t at = 0;
-        std::optional<Conclusion> conclusion;
+        std::optional<ReadResult> conclusion;
         while (!conclusion && at < bytes.size()) {
             const size_t more = 1 + random() % 40;
             in += bytes.substr(at, more);
@@ -291,14 +291,15 @@
             conclusion = reading.read(in, false, {"first", false, false});
         }
         if (!conclusion) conclusion = reading.read(in, true, {"first", false, false});
-        if (!conclusion || !conclusion->answer) continue;
-        const bool passes = conclusion->how == Ending::passed || conclusion->how == Ending::failed;
+        if (!conclusion || !conclusion->response) continue;
+        const bool passes = conclusion->outcome == AttemptOutcome::answered ||
+                            conclusion->outcome == AttemptOutcome::serverError;
         if (!passes) continue;
         ++passed;
-        EXPECT_EQ(conclusion->answer->head.field("X-Attempt-Id").value_or(""), "first") << "seed " << seed;
-        const auto length = conclusion->answer->head.field("Content-Length");
-        if (length && !conclusion->answer->bodiless) {
-            EXPECT_EQ(conclusion->answer->body.size(), http::wholeNumber(*length).value_or(0))
+        EXPECT_EQ(conclusion->response->head.field("X-Attempt-Id").value_or(""), "first") << "seed " << seed;
+        const auto length = conclusion->response->head.field("Content-Length");
+        if (length && !conclusion->response->bodiless) {
+            EXPECT_EQ(conclusion->response->body.size(), http::wholeNumber(*length).value_or(0))
                 << "seed " << seed;
         }
     }
--- a/system/proxy/answer_reading.cpp
+++ b/system/proxy/answer_reading.cpp
@@ -11,7 +11,7 @@
 // may cross the close.
 const Span kKeepAliveMargin = Span::millis(300);
 
-std::optional<Span> keepAliveOf(const http::Head& head) {
+std::optional<Span> parseKeepAlive(const http::Head& head) {
     const auto field = head.field("Keep-Alive");
     if (!field) return {};
     const size_t at = field->find("timeout=");
@@ -25,31 +25,34 @@
 
 }  // namespace
 
-Ending AnswerReading::classify(const HttpAnswer& answer, const Expected& expected) const {
+AttemptOutcome ResponseReader::classify(const HttpAnswer& answer, const ExpectedResponse& expected) const {
     const int status = answer.status;
     const bool refuses = status == 429 || status == 503 || status == 408;
     // Without its id it may be the answer to another request, and its promise that one's: ours may run.
-    if (!answer.head.field("X-Attempt-Id") && defect_ != ReadingDefect::trustsEveryId) return Ending::broken;
-    if (status == 421) return Ending::misdirected;
-    if (answer.head.field("X-Not-Executed")) return Ending::notRun;
-    if (refuses && defect_ == ReadingDefect::believesEveryRefusal) return Ending::notRun;
+    if (!answer.head.field("X-Attempt-Id") && defect_ != ReaderDefect::acceptsAnyId)
+        return AttemptOutcome::connectionBroken;
+    if (status == 421) return AttemptOutcome::misdirected;
+    if (answer.head.field("X-Not-Executed")) return AttemptOutcome::notExecuted;
+    if (refuses && defect_ == ReaderDefect::acceptsUnconfirmedRejection) return AttemptOutcome::notExecuted;
     if (status >= 200 && status < 300) {
         const bool whole = answer.head.field("X-Endpoint-Seal") && !answer.head.field("Content-Encoding");
-        return whole ? Ending::passed : Ending::broken;  // else not the endpoint's body
+        return whole ? AttemptOutcome::answered
+                     : AttemptOutcome::connectionBroken;  // else not the endpoint's body
     }
     // Without the word that it has not run these may have: passed on to who may send it but once they would
     // promise what nobody knows.
-    if (refuses && !expected.repeatable) return Ending::broken;
-    if (status >= 500 || refuses) return Ending::failed;
-    return Ending::passed;
+    if (refuses && !expected.isIdempotent) return AttemptOutcome::connectionBroken;
+    if (status >= 500 || refuses) return AttemptOutcome::serverError;
+    return AttemptOutcome::answered;
 }
 
-std::optional<Conclusion> AnswerReading::read(std::string& in, bool ended, const Expected& expected) {
+std::optional<ReadResult> ResponseReader::read(std::string& in, bool ended,
+                                               const ExpectedResponse& expected) {
     while (true) {
-        Conclusion out;
+        ReadResult out;
         auto answer = std::make_unique<HttpAnswer>();
-        Reading reading = network::takeAnswer(in, ended, mostBody_, *answer, expected.toHead);
-        if (reading == Reading::malformed && ended && defect_ == ReadingDefect::takesCutAnswers &&
+        Reading reading = network::takeAnswer(in, ended, maxBodyBytes_, *answer, expected.isHeadRequest);
+        if (reading == Reading::malformed && ended && defect_ == ReaderDefect::acceptsTruncated &&
             http::headEnd(in)) {
             answer->raw = in.substr(0, *http::headEnd(in));
             http::parseResponse(answer->raw, answer->head);
@@ -61,30 +64,31 @@
         if (reading == Reading::incomplete) return {};
         if (reading == Reading::malformed) {
             in.clear();
-            spoilt_ = out.spoilt = true;
+            mustClose_ = out.isInvalid = true;
             return out;
         }
         const auto id = answer->head.field("X-Attempt-Id");
-        if (id && *id != expected.attemptId && defect_ != ReadingDefect::trustsEveryId) {
+        if (id && *id != expected.attemptId && defect_ != ReaderDefect::acceptsAnyId) {
             // An answer in excess, to an earlier request, in the place of this one's: it belongs to nobody.
             // Ours is still to come; the connection ends behind it.
-            ++excess_;
-            spoilt_ = true;
+            ++excessCount_;
+            mustClose_ = true;
             if (!in.empty()) continue;
             if (!ended) return {};
-            out.spoilt = true;
+            out.isInvalid = true;
             return out;
         }
-        out.how = classify(*answer, expected);
-        out.spoilt = out.how == Ending::broken;
+        out.outcome = classify(*answer, expected);
+        out.isInvalid = out.outcome == AttemptOutcome::connectionBroken;
         if (!in.empty()) {
-            ++excess_;
-            spoilt_ = true;
+            ++excessCount_;
+            mustClose_ = true;
         }
-        const bool clean = !spoilt_ || defect_ == ReadingDefect::keepsAfterExcess;
-        out.keep = clean && !answer->closes && !ended && out.how != Ending::broken;
-        out.keepAlive = keepAliveOf(answer->head);
-        out.answer = std::move(answer);
+        const bool clean = !mustClose_ || defect_ == ReaderDefect::reusesAfterExcess;
+        out.isReusable =
+            clean && !answer->closes && !ended && out.outcome != AttemptOutcome::connectionBroken;
+        out.keepAlive = parseKeepAlive(answer->head);
+        out.response = std::move(answer);
         return out;
     }
 }
--- a/system/proxy/budget.hpp
+++ b/system/proxy/budget.hpp
@@ -10,32 +10,32 @@
 
 // Counts by tenths of the window. What is allowed is kept well under the rule, as windows slide, requests are
 // counted where they were sent and not where they arrived, and a restarted sender has forgotten what it used.
-class Budget {
+class RetryBudget {
   public:
-    void request(Instant now, Span window) { at(now, window).requests += 1; }
-    void further(Instant now, Span window) { at(now, window).further += 1; }
-    bool allows(Instant now, Span window, double ratio, double slack) {
-        at(now, window);
+    void recordRequest(Instant now, Span window) { binAt(now, window).requests += 1; }
+    void recordRetry(Instant now, Span window) { binAt(now, window).retries += 1; }
+    bool allowsRetry(Instant now, Span window, double ratio, double slack) {
+        binAt(now, window);
         double requests = 0, further = 0;
-        for (const Part& p : parts_) requests += p.requests, further += p.further;
+        for (const Bin& p : bins_) requests += p.requests, further += p.retries;
         return further + 1 <= 0.5 * ratio * requests + slack;
     }
 
   private:
-    struct Part {
-        int64_t tenth = -1;
-        uint32_t requests = 0, further = 0;
+    struct Bin {
+        int64_t index = -1;
+        uint32_t requests = 0, retries = 0;
     };
-    Part& at(Instant now, Span window) {
+    Bin& binAt(Instant now, Span window) {
         int64_t length = window.inMicros() / 10 + 1;
         int64_t tenth = now.inMicros() / length;
-        for (Part& p : parts_)
-            if (p.tenth <= tenth - 11) p = Part();
-        Part& p = parts_[static_cast<size_t>(tenth % 11)];
-        if (p.tenth != tenth) p = Part{tenth, 0, 0};
+        for (Bin& p : bins_)
+            if (p.index <= tenth - 11) p = Bin();
+        Bin& p = bins_[static_cast<size_t>(tenth % 11)];
+        if (p.index != tenth) p = Bin{tenth, 0, 0};
         return p;
     }
-    std::array<Part, 11> parts_;
+    std::array<Bin, 11> bins_;
 };
 
 }  // namespace petrelpond::proxy
--- a/system/proxy/dispatch.cpp
+++ b/system/proxy/dispatch.cpp
@@ -7,30 +7,31 @@
 
 namespace {
 
-constexpr double kUnknownMean = 0.1;          // seconds; of a kind never answered
-const Span kReportEvery = Span::millis(100);  // what is not urgent gathers for so long
-constexpr size_t kCrowdOfServices = 5;        // for so many requests wait here: a crowd
-const Span kCrowdEvery = Span::millis(30);    // its reports
-const Span kUrgentAgain = Span::millis(150);  // a want that was not met is said again
-const Span kProbeEvery = Span::millis(60);
-const Span kRest = Span::millis(250);  // of an instance that just refused a connection
-const Span kDeadAgain = Span::millis(200);
-const Span kUnheard = Span::millis(400);   // thought to pass until the holder's first word
-const Span kPassedOn = Span::millis(100);  // a slot from another sender: two round trips between regions
-const Span kSweep = Span::millis(50);
-const Span kRemember = Span::seconds(30);  // an instance of which we have no slot any more
-constexpr size_t kMostFormers = 8;         // such instances of a service
-constexpr double kHoldShare = 0.45;        // of the time that a request had; then it is told
+constexpr double kDefaultCallSeconds = 0.1;            // seconds; of a kind never answered
+const Span kReportInterval = Span::millis(100);        // what is not urgent gathers for so long
+constexpr size_t kManyQueuedServices = 5;              // for so many requests wait here: a crowd
+const Span kCrowdedReportInterval = Span::millis(30);  // its reports
+const Span kDemandRepeatInterval = Span::millis(150);  // a want that was not met is said again
+const Span kProbeInterval = Span::millis(60);
+const Span kConnectBackoff = Span::millis(250);  // of an instance that just refused a connection
+const Span kDeadReportInterval = Span::millis(200);
+const Span kFirstGrantDelay = Span::millis(400);  // thought to pass until the holder's first word
+const Span kSlotTransferDelay =
+    Span::millis(100);  // a slot from another sender: two round trips between regions
+const Span kSweepInterval = Span::millis(50);
+const Span kFormerInstanceLifetime = Span::seconds(30);  // an instance of which we have no slot any more
+constexpr size_t kMaxFormerInstances = 8;                // such instances of a service
+constexpr double kMaxQueueTimeShare = 0.45;              // of the time that a request had; then it is told
 
 }  // namespace
 
 // What may have run is decided here alone. Unsure is run.
-bool mayHaveRun(Ending e) {
+bool mayHaveExecuted(AttemptOutcome e) {
     switch (e) {
-        case Ending::notRun:
-        case Ending::misdirected:
-        case Ending::unconnected:
-        case Ending::unsent:
+        case AttemptOutcome::notExecuted:
+        case AttemptOutcome::misdirected:
+        case AttemptOutcome::connectFailed:
+        case AttemptOutcome::notSent:
             return false;
         default:
             return true;
@@ -38,58 +39,59 @@
 }
 
 Dispatch::Dispatch(Instant now, Options options)
-    : options_(std::move(options)), chance_{std::mt19937(options_.chance)}, bornAt_(now), reportedAt_(now),
-      wakeAt_(now), sweepAt_(now) {}
+    : options_(std::move(options)), random_{std::mt19937(options_.seed)}, createdAt_(now), reportedAt_(now),
+      wakeAt_(now), nextSweepAt_(now) {}
 
-uint32_t Dispatch::serviceOf(const std::string& name) {
+uint32_t Dispatch::findOrAddService(const std::string& name) {
     auto [at, fresh] = serviceByName_.try_emplace(name, static_cast<uint32_t>(services_.size()));
     if (fresh) services_.emplace_back().spec.name = name;
     return at->second;
 }
 
-uint32_t Dispatch::kindOf(const Arrival& a) {
-    std::array<int64_t, 4> key = {a.repeatable, a.priority, a.target.inMicros(), a.timeout.inMicros()};
-    auto [at, fresh] = kindByKey_.try_emplace(key, static_cast<uint32_t>(kinds_.size()));
-    if (fresh) kinds_.emplace_back();
+uint32_t Dispatch::findOrAddRequestClass(const IncomingRequest& a) {
+    std::array<int64_t, 4> key = {a.isIdempotent, a.priority, a.targetLatency.inMicros(),
+                                  a.routeTimeout.inMicros()};
+    auto [at, fresh] = requestClassByKey_.try_emplace(key, static_cast<uint32_t>(requestClasses_.size()));
+    if (fresh) requestClasses_.emplace_back();
     return at->second;
 }
 
-void Dispatch::configured(Instant now, const std::vector<ServiceSpec>& all) {
-    for (Service& s : services_) s.known = false;
+void Dispatch::updateServices(Instant now, const std::vector<ServiceSpec>& all) {
+    for (Service& s : services_) s.isConfigured = false;
     for (const ServiceSpec& spec : all) {
-        Service& s = services_[serviceOf(spec.name)];
-        s.spec = spec, s.known = true;
+        Service& s = services_[findOrAddService(spec.name)];
+        s.spec = spec, s.isConfigured = true;
     }
-    for (uint32_t i = 0; i < services_.size(); ++i) run(now, i);
+    for (uint32_t i = 0; i < services_.size(); ++i) dispatchQueued(now, i);
 }
 
-void Dispatch::standing(Instant now, uint64_t term, bool linked, uint32_t senders) {
-    senders_ = std::max(1u, senders);
-    if (senders_ >= mostSenders_)
-        mostSenders_ = senders_, fewerSince_ = Instant::never();
-    else if (fewerSince_ == Instant::never())
-        fewerSince_ = now;
-    bool anew = linked && (term != term_ || !linked_);
+void Dispatch::updatePlannerStatus(Instant now, uint64_t term, bool linked, uint32_t senders) {
+    proxyCount_ = std::max(1u, senders);
+    if (proxyCount_ >= maxProxyCount_)
+        maxProxyCount_ = proxyCount_, fewerProxiesSince_ = Instant::never();
+    else if (fewerProxiesSince_ == Instant::never())
+        fewerProxiesSince_ = now;
+    bool anew = linked && (term != term_ || !isLinked_);
     if (term < term_) return;  // an old holder's word, or one that was passed on late
-    term_ = term, linked_ = linked;
-    if (anew) report(now, true);
+    term_ = term, isLinked_ = linked;
+    if (anew) sendReport(now, true);
 }
 
-void Dispatch::granted(Instant now, const scaler::Grants& grants) {
+void Dispatch::applyGrants(Instant now, const scaler::Grants& grants) {
     // A holder that was overtaken, as one that slept, decides nothing here. What was granted under a higher
     // term shows that as well as the standing does.
-    if (grants.term < std::max(term_, grantedTerm_)) return;
-    grantedTerm_ = grants.term;
+    if (grants.term < std::max(term_, grantsTerm_)) return;
+    grantsTerm_ = grants.term;
     if (grants.whole) {
         for (auto& i : instances_)
-            if (i && !i->dropped) {
+            if (i && !i->isReleased) {
                 bool named = std::any_of(grants.grants.begin(), grants.grants.end(),
-                                         [&](const scaler::Grant& g) { return g.instance == i->view.id; });
-                if (!named && i->slots > 0) i->slots = 0, noteHeld(*i);
+                                         [&](const scaler::Grant& g) { return g.instance == i->info.id; });
+                if (!named && i->slots > 0) i->slots = 0, recordHeldSlots(*i);
             }
     }
     std::vector<uint32_t> touched, grown;  // grown: more slots than before
-    std::vector<InstanceIx> raised;
+    std::vector<InstanceIndex> raised;
     bool lowered = false;
     for (const scaler::Grant& g : grants.grants) {
         auto found = instanceById_.find(g.instance);
@@ -97,101 +99,101 @@
             if (g.slots == 0) {  // not known here: so nothing is held of it
                 lowered = true;
                 if (g.ends)
-                    for (Service& each : services_) forget(each, g.instance);
+                    for (Service& each : services_) forgetFormerInstance(each, g.instance);
                 heldChanges_[g.instance] = {g.instance, g.service, g.address, 0, 0};
                 continue;
             }
-            const uint32_t service = serviceOf(g.service);
-            forget(services_[service], g.instance);
-            const InstanceIx ix = makeInstance(now, {g.instance, g.address, g.zone}, service);
+            const uint32_t service = findOrAddService(g.service);
+            forgetFormerInstance(services_[service], g.instance);
+            const InstanceIndex ix = addInstance(now, {g.instance, g.address, g.zone}, service);
             Instance& made = *instances_[ix];
-            made.up = g.upInMs == 0;
-            made.upAt = now + Span::millis(g.upInMs);
+            made.isReady = g.upInMs == 0;
+            made.expectedReadyAt = now + Span::millis(g.upInMs);
             // Starts vary by a third or more: looked at from two thirds of the time on.
-            made.probeAt = now + Span::millis(g.upInMs) * 0.6;
+            made.nextProbeAt = now + Span::millis(g.upInMs) * 0.6;
             found = instanceById_.find(g.instance);
         }
         Instance& i = *instances_[found->second];
-        if (g.upInMs == 0 && !i.up) i.up = true, i.restsUntil = Instant::longAgo();
-        if (g.slots == 0 && i.misses > 0) i.deadTold = false;
+        if (g.upInMs == 0 && !i.isReady) i.isReady = true, i.backoffUntil = Instant::longAgo();
+        if (g.slots == 0 && i.connectFailures > 0) i.isReportedDead = false;
         bool more = g.slots > i.slots;
         lowered |= g.slots < i.slots || g.slots == 0;
         i.slots = g.slots;
-        i.ends = g.ends;
-        if (i.slots > 0) i.dropped = false;
+        i.isTerminating = g.ends;
+        if (i.slots > 0) i.isReleased = false;
         if (more) raised.push_back(found->second);
         // Every number is answered, a higher one too: the holder lowers none that it has not seen arrive.
         // Unanswered, a slot that lay idle here could not be asked back for three seconds while others waited
         // for it.
-        noteHeld(i);
+        recordHeldSlots(i);
         services_[i.service].fleetSlots = g.fleetSlots;
         (more ? grown : touched).push_back(i.service);
     }
-    for (uint32_t s : grown) raise(now, services_[s]), touched.push_back(s);
+    for (uint32_t s : grown) raisePacingRate(now, services_[s]), touched.push_back(s);
     std::sort(touched.begin(), touched.end());
     touched.erase(std::unique(touched.begin(), touched.end()), touched.end());
-    for (uint32_t s : touched) run(now, s);
-    for (InstanceIx ix = 0; ix < instances_.size(); ++ix) {
+    for (uint32_t s : touched) dispatchQueued(now, s);
+    for (InstanceIndex ix = 0; ix < instances_.size(); ++ix) {
         Instance* i = instances_[ix].get();
-        if (i && i->slots == 0 && i->busy == 0) dropInstance(now, ix);
+        if (i && i->slots == 0 && i->inFlight == 0) removeInstance(now, ix);
     }
     // Somebody waits for what is taken back, and what lies idle may be asked back once its number is
     // answered. Of slots that are in use at once the answer goes with the end of the call, or the next report
     // that gathers: a word less for each call. Harm: a call that ends meanwhile frees its slot a round trip
     // later.
-    const bool idle = std::any_of(raised.begin(), raised.end(), [this](InstanceIx ix) {
+    const bool idle = std::any_of(raised.begin(), raised.end(), [this](InstanceIndex ix) {
         const Instance* i = instances_[ix].get();
-        return i && i->busy < i->slots;
+        return i && i->inFlight < i->slots;
     });
     if (lowered || idle || grants.whole)
-        report(now, false);
+        sendReport(now, false);
     else if (!heldChanges_.empty())
-        wakeBy(reportedAt_ + kReportEvery);
+        scheduleWakeup(reportedAt_ + kReportInterval);
 }
 
 // What is still held of an instance after fewer slots were granted, or after a slot that was asked back
 // ended.
-void Dispatch::noteHeld(Instance& i) {
-    uint32_t held = std::max(i.slots, i.busy);
-    heldChanges_[i.view.id] = {i.view.id, services_[i.service].spec.name, i.view.address, held, i.busy};
+void Dispatch::recordHeldSlots(Instance& i) {
+    uint32_t held = std::max(i.slots, i.inFlight);
+    heldChanges_[i.info.id] = {i.info.id, services_[i.service].spec.name, i.info.address, held, i.inFlight};
 }
 
-InstanceIx Dispatch::makeInstance(Instant now, const InstanceView& view, uint32_t service) {
-    InstanceIx ix;
-    if (!freeIx_.empty()) {
-        ix = freeIx_.back(), freeIx_.pop_back();
+InstanceIndex Dispatch::addInstance(Instant now, const InstanceInfo& view, uint32_t service) {
+    InstanceIndex ix;
+    if (!freeIndices_.empty()) {
+        ix = freeIndices_.back(), freeIndices_.pop_back();
     } else {
-        ix = static_cast<InstanceIx>(instances_.size());
+        ix = static_cast<InstanceIndex>(instances_.size());
         instances_.emplace_back();
     }
     auto made = std::make_unique<Instance>();
-    made->view = view;
+    made->info = view;
     made->service = service;
-    made->idleSince = made->upAt = now;
+    made->idleSince = made->expectedReadyAt = now;
     services_[service].instances.push_back(ix);
     instances_[ix] = std::move(made);
     instanceById_[view.id] = ix;
     return ix;
 }
 
-void Dispatch::remember(Instant now, const Instance& i) {
+void Dispatch::rememberInstance(Instant now, const Instance& i) {
     Service& s = services_[i.service];
-    forget(s, i.view.id);
-    if (i.ends || i.misses > 0 || i.deadTold || !i.up) return;
-    s.formers.push_back({i.view, now + kRemember});
-    if (s.formers.size() > kMostFormers) s.formers.erase(s.formers.begin());
+    forgetFormerInstance(s, i.info.id);
+    if (i.isTerminating || i.connectFailures > 0 || i.isReportedDead || !i.isReady) return;
+    s.formerInstances.push_back({i.info, now + kFormerInstanceLifetime});
+    if (s.formerInstances.size() > kMaxFormerInstances) s.formerInstances.erase(s.formerInstances.begin());
 }
 
-void Dispatch::forget(Service& s, const std::string& instance) {
-    std::erase_if(s.formers, [&](const Former& each) { return each.view.id == instance; });
+void Dispatch::forgetFormerInstance(Service& s, const std::string& instance) {
+    std::erase_if(s.formerInstances, [&](const FormerInstance& each) { return each.info.id == instance; });
 }
 
-void Dispatch::holderSilent(Instant now, bool is) {
-    if (silent_ == is) return;
-    silent_ = is;
-    if (!silent_) return;
-    const std::vector<uint32_t> all(hungry_.begin(), hungry_.end());
-    for (uint32_t service : all) run(now, service);
+void Dispatch::setPlannerSilent(Instant now, bool is) {
+    if (isPlannerSilent_ == is) return;
+    isPlannerSilent_ = is;
+    if (!isPlannerSilent_) return;
+    const std::vector<uint32_t> all(queuedServices_.begin(), queuedServices_.end());
+    for (uint32_t service : all) dispatchQueued(now, service);
 }
 
 // An instance for a request that has no slot here while nobody grants any, as after a loss of the cores: one
@@ -200,175 +202,176 @@
 // are turned away. One call at an instance at a time, one such send a request, paced by the bucket. Harm:
 // the calls of others that hold its slots may be turned away in its place.
 bool Dispatch::mayBorrow(Instant now, Service& s, const Request& r) {
-    if (!silent_ || r.attempts > 0) return false;
-    std::erase_if(s.formers, [now](const Former& each) { return now >= each.until; });
-    if (s.formers.empty()) return false;
-    if (now >= s.borrowAt && s.bucket.ready(now, 0, chance_)) return true;
-    wakeBy(std::max(s.borrowAt, s.bucket.askAt));
+    if (!isPlannerSilent_ || r.attempts > 0) return false;
+    std::erase_if(s.formerInstances, [now](const FormerInstance& each) { return now >= each.expiresAt; });
+    if (s.formerInstances.empty()) return false;
+    if (now >= s.nextBorrowAt && s.bucket.ready(now, 0, random_)) return true;
+    scheduleWakeup(std::max(s.nextBorrowAt, s.bucket.askAt));
     return false;
 }
 
 // The one in our zone, else the one that was used longest ago.
-InstanceIx Dispatch::borrow(Instant now, uint32_t service) {
+InstanceIndex Dispatch::borrowInstance(Instant now, uint32_t service) {
     Service& s = services_[service];
     ++counters_.borrowed;
-    auto best = std::find_if(s.formers.begin(), s.formers.end(),
-                             [this](const Former& each) { return each.view.zone == options_.zone; });
-    if (best == s.formers.end()) best = s.formers.begin();
-    const InstanceView view = best->view;
-    forget(s, view.id);
-    const InstanceIx ix = makeInstance(now, view, service);
-    instances_[ix]->up = true;
+    auto best = std::find_if(s.formerInstances.begin(), s.formerInstances.end(),
+                             [this](const FormerInstance& each) { return each.info.zone == options_.zone; });
+    if (best == s.formerInstances.end()) best = s.formerInstances.begin();
+    const InstanceInfo view = best->info;
+    forgetFormerInstance(s, view.id);
+    const InstanceIndex ix = addInstance(now, view, service);
+    instances_[ix]->isReady = true;
     return ix;
 }
 
-void Dispatch::dropInstance(Instant now, InstanceIx ix) {
+void Dispatch::removeInstance(Instant now, InstanceIndex ix) {
     Instance& i = *instances_[ix];
-    remember(now, i);
-    out_.push_back(Drop{ix, connectionsKept(i)});
+    rememberInstance(now, i);
+    outputs_.push_back(ReleaseInstance{ix, maxIdleConnections(i)});
     auto& all = services_[i.service].instances;
     all.erase(std::remove(all.begin(), all.end(), ix), all.end());
-    instanceById_.erase(i.view.id);
+    instanceById_.erase(i.info.id);
     instances_[ix].reset();
-    freeIx_.push_back(ix);
+    freeIndices_.push_back(ix);
 }
 
 // Slots go from sender to sender and come back within seconds: a connection that stays open spares the next
 // call a round trip and a small instance another connection. Harm: all senders' idle connections together
 // must not use up what the instance takes, so each keeps its even part only.
-size_t Dispatch::connectionsKept(const Instance& i) const {
-    constexpr double kPartForIdle = 0.9;
-    if (i.misses > 0 || i.deadTold) return 0;
-    return static_cast<size_t>(kPartForIdle * services_[i.service].spec.maxConnections / senders_);
+size_t Dispatch::maxIdleConnections(const Instance& i) const {
+    constexpr double kIdleConnectionShare = 0.9;
+    if (i.connectFailures > 0 || i.isReportedDead) return 0;
+    return static_cast<size_t>(kIdleConnectionShare * services_[i.service].spec.maxConnections / proxyCount_);
 }
 
-const InstanceView* Dispatch::instance(InstanceIx ix) const {
-    return ix < instances_.size() && instances_[ix] ? &instances_[ix]->view : nullptr;
+const InstanceInfo* Dispatch::findInstance(InstanceIndex ix) const {
+    return ix < instances_.size() && instances_[ix] ? &instances_[ix]->info : nullptr;
 }
 
-bool Dispatch::waits(RequestId id) const {
+bool Dispatch::isQueued(RequestId id) const {
     auto found = requests_.find(id);
-    return found != requests_.end() && !found->second.out;
+    return found != requests_.end() && !found->second.isInFlight;
 }
 
-double Dispatch::slice(const Service& s) const {
-    double mean = s.mean > 0 ? s.mean : kUnknownMean;
+double Dispatch::fairRate(const Service& s) const {
+    double mean = s.meanSeconds > 0 ? s.meanSeconds : kDefaultCallSeconds;
     double own = 0;
-    for (InstanceIx ix : s.instances) own += instances_[ix]->slots;
+    for (InstanceIndex ix : s.instances) own += instances_[ix]->slots;
     // The fleet's rate over the senders told; a sender that was granted more than its even part uses that,
     // as traffic is uneven.
-    double even = s.fleetSlots / static_cast<double>(senders_);
+    double even = s.fleetSlots / static_cast<double>(proxyCount_);
     return std::max(std::max(own, even) / mean, 1.0);
 }
 
-Span Dispatch::callTime(const Service& s, const Request& r) const {
-    double mean = kinds_[r.kind].mean;
-    if (mean <= 0) mean = s.mean;
-    return Span::seconds(mean > 0 ? mean : kUnknownMean);
+Span Dispatch::expectedCallTime(const Service& s, const Request& r) const {
+    double mean = requestClasses_[r.requestClass].meanSeconds;
+    if (mean <= 0) mean = s.meanSeconds;
+    return Span::seconds(mean > 0 ? mean : kDefaultCallSeconds);
 }
 
 // How long a request that comes now would wait behind `ahead` others.
 Span Dispatch::expectedWait(Instant now, const Service& s, size_t ahead, bool passedOn) const {
     Instant first = Instant::never();
     double slots = 0;
-    for (InstanceIx ix : s.instances) {
+    for (InstanceIndex ix : s.instances) {
         const Instance& i = *instances_[ix];
         if (i.slots == 0) continue;
         slots += i.slots;
-        first = std::min(first, i.up ? std::max(now, i.restsUntil) : std::max(now, i.upAt));
+        first = std::min(first, i.isReady ? std::max(now, i.backoffUntil) : std::max(now, i.expectedReadyAt));
     }
-    double mean = s.mean > 0 ? s.mean : kUnknownMean;
+    double mean = s.meanSeconds > 0 ? s.meanSeconds : kDefaultCallSeconds;
     // Without a word of the holder yet only this sender's slots are unknown; the instances may well run.
-    if (slots == 0 && (!linked_ || grantedTerm_ < term_)) return kUnheard;
+    if (slots == 0 && (!isLinked_ || grantsTerm_ < term_)) return kFirstGrantDelay;
     // The fleet has slots, though none is here: one is passed on sooner than an instance boots. Against
     // requests that come once more with less time left than a boot takes, and were told at once that there is
     // none. Harm: where all are busy, or gone since the holder's last word, one waits for a part of its time
     // in vain.
     if (slots == 0 && passedOn && s.fleetSlots > 0)
-        return kPassedOn + Span::seconds(mean * static_cast<double>(ahead) / 4);
+        return kSlotTransferDelay + Span::seconds(mean * static_cast<double>(ahead) / 4);
     if (slots == 0)
         return s.spec.boot + Span::millis(150) + Span::seconds(mean * static_cast<double>(ahead) / 4);
     return (first - now) + Span::seconds(mean * static_cast<double>(ahead) / slots);
 }
 
-void Dispatch::arrived(Instant now, const Arrival& a) {
-    ++counters_.arrived;
-    uint32_t ix = serviceOf(a.service);
-    uint32_t kind = kindOf(a);
+void Dispatch::onRequest(Instant now, const IncomingRequest& a) {
+    ++counters_.received;
+    uint32_t ix = findOrAddService(a.service);
+    uint32_t kind = findOrAddRequestClass(a);
     Request& r = requests_[a.id];
-    r.is = a, r.cameAt = now, r.service = ix, r.kind = kind, r.order = ++order_;
-    r.holdUntil = std::min(now + (a.deadline - now) * kHoldShare, a.deadline);
+    r.incoming = a, r.receivedAt = now, r.service = ix, r.requestClass = kind, r.sequence = ++lastSequence_;
+    r.queueUntil = std::min(now + (a.deadline - now) * kMaxQueueTimeShare, a.deadline);
     Service& s = services_[ix];
-    s.budget.request(now, options_.budgetWindow);
-    ++s.arrived;
-    if (!s.changed) s.changed = true, changed_.push_back(ix);
-    queue(r);
-    run(now, ix);
+    s.retryBudget.recordRequest(now, options_.retryBudgetWindow);
+    ++s.arrivals;
+    if (!s.hasChanged) s.hasChanged = true, changedServices_.push_back(ix);
+    enqueue(r);
+    dispatchQueued(now, ix);
     auto still = requests_.find(a.id);
-    if (still == requests_.end() || still->second.out) return;
+    if (still == requests_.end() || still->second.isInFlight) return;
     // It waits. Where it surely can't be had in time it is told now, with when to come back.
     size_t behind = 0;  // of lower priority: it is the last of its own
-    for (auto at = s.waiting.rbegin(); at != s.waiting.rend() && at->first.first > a.priority; ++at) ++behind;
-    size_t ahead = s.waiting.size() - behind - 1;
+    for (auto at = s.queue.rbegin(); at != s.queue.rend() && at->first.first > a.priority; ++at) ++behind;
+    size_t ahead = s.queue.size() - behind - 1;
     Span wait = expectedWait(now, s, ahead, true);
-    if (held_ > mostHeld_ || now + wait + callTime(s, still->second) > a.deadline)
-        return refuse(now, still->second, true);
-    holds_.emplace(r.holdUntil, a.id);
-    wakeBy(std::max(r.holdUntil, sweepAt_));
+    if (queuedCount_ > maxQueued_ || now + wait + expectedCallTime(s, still->second) > a.deadline)
+        return rejectRequest(now, still->second, true);
+    queueDeadlines_.emplace(r.queueUntil, a.id);
+    scheduleWakeup(std::max(r.queueUntil, nextSweepAt_));
 }
 
-void Dispatch::queue(Request& r) {
+void Dispatch::enqueue(Request& r) {
     Service& s = services_[r.service];
-    s.waiting[{r.is.priority, r.order}] = r.is.id;
-    ++held_;
-    hungry_.insert(r.service);
-    s.peak = std::max(s.peak, s.busy + static_cast<uint32_t>(s.waiting.size()));
+    s.queue[{r.incoming.priority, r.sequence}] = r.incoming.id;
+    ++queuedCount_;
+    queuedServices_.insert(r.service);
+    s.peakDemand = std::max(s.peakDemand, s.inFlight + static_cast<uint32_t>(s.queue.size()));
 }
 
-void Dispatch::unqueue(Request& r) {
+void Dispatch::dequeue(Request& r) {
     Service& s = services_[r.service];
-    if (s.waiting.erase({r.is.priority, r.order})) --held_;
-    if (s.waiting.empty()) hungry_.erase(r.service);
+    if (s.queue.erase({r.incoming.priority, r.sequence})) --queuedCount_;
+    if (s.queue.empty()) queuedServices_.erase(r.service);
 }
 
-void Dispatch::withdrawn(Instant, RequestId id) {
+void Dispatch::cancelRequest(Instant, RequestId id) {
     auto found = requests_.find(id);
-    if (found == requests_.end() || found->second.out) return;
-    unqueue(found->second);
-    close(found->second);
+    if (found == requests_.end() || found->second.isInFlight) return;
+    dequeue(found->second);
+    eraseRequest(found->second);
 }
 
-std::optional<InstanceIx> Dispatch::pick(Instant now, const Service& s, const Request& r) const {
-    std::optional<InstanceIx> best;
+std::optional<InstanceIndex> Dispatch::pickInstance(Instant now, const Service& s, const Request& r) const {
+    std::optional<InstanceIndex> best;
     double most = 0;
-    for (InstanceIx ix : s.instances) {
+    for (InstanceIndex ix : s.instances) {
         const Instance& i = *instances_[ix];
-        if (!i.up || i.busy >= i.slots || now < i.restsUntil) continue;
-        double room = (i.slots - i.busy) / static_cast<double>(i.slots);
-        if (i.view.zone == options_.zone) room += 0.4;  // bytes between zones are dear, and it is nearer
-        if (i.misses > 0) room /= 4;
-        if (ix == r.avoid) room /= 100;
+        if (!i.isReady || i.inFlight >= i.slots || now < i.backoffUntil) continue;
+        double room = (i.slots - i.inFlight) / static_cast<double>(i.slots);
+        if (i.info.zone == options_.zone) room += 0.4;  // bytes between zones are dear, and it is nearer
+        if (i.connectFailures > 0) room /= 4;
+        if (ix == r.avoidInstance) room /= 100;
         if (!best || room > most) best = ix, most = room;
     }
     return best;
 }
 
-void Dispatch::tellNow(Instant now) {
-    urgent_ = true;
-    wakeBy(urgentAt(now));
+void Dispatch::requestUrgentReport(Instant now) {
+    isReportUrgent_ = true;
+    scheduleWakeup(urgentReportAt(now));
 }
 
 // When what is urgent is reported: at once, but in a crowd a few times a tenth of a second. Against a holder
 // that falls behind by the reports of all senders when, after a loss, requests for many services wait at each
 // of them. Harm: a want is heard so much later while many others wait.
-Instant Dispatch::urgentAt(Instant now) const {
-    return hungry_.size() < kCrowdOfServices ? now : std::max(now, reportedAt_ + kCrowdEvery);
+Instant Dispatch::urgentReportAt(Instant now) const {
+    return queuedServices_.size() < kManyQueuedServices ? now
+                                                        : std::max(now, reportedAt_ + kCrowdedReportInterval);
 }
 
 // More slots are a higher rate at once, and a wait reckoned by the old rate is shortened in step: bound while
 // it had no slot at all, a sender would else let one call a second go, however many slots it was given since.
-void Dispatch::raise(Instant now, Service& s) {
-    double rate = slice(s);
+void Dispatch::raisePacingRate(Instant now, Service& s) {
+    double rate = fairRate(s);
     if (!s.bucket.bound || s.bucket.rate >= rate) return;
     if (s.bucket.askAt > now) s.bucket.askAt = now + (s.bucket.askAt - now) * (s.bucket.rate / rate);
     s.bucket.rate = rate;
@@ -376,182 +379,188 @@
 
 // A request is held: the service's concurrency is taken, or its instance boots. From here on the bucket
 // binds.
-void Dispatch::hold(Instant now, Service& s) {
+void Dispatch::startPacing(Instant now, Service& s) {
     bool fresh = !s.bucket.bound;
-    s.bucket.bind(now, slice(s), chance_);
+    s.bucket.bind(now, fairRate(s), random_);
     // The source's bucket starts full: with no call out the first one held owes no wait.
-    if (fresh && s.busy == 0) s.bucket.tokens = 1;
-    if (!s.wanting || now - s.wantedAt > kUrgentAgain) {
-        s.wanting = true, s.wantedAt = now;
-        tellNow(now);
+    if (fresh && s.inFlight == 0) s.bucket.tokens = 1;
+    if (!s.isDemandReported || now - s.demandReportedAt > kDemandRepeatInterval) {
+        s.isDemandReported = true, s.demandReportedAt = now;
+        requestUrgentReport(now);
     }
-    if (!s.changed) s.changed = true, changed_.push_back(static_cast<uint32_t>(&s - services_.data()));
+    if (!s.hasChanged)
+        s.hasChanged = true, changedServices_.push_back(static_cast<uint32_t>(&s - services_.data()));
 }
 
-void Dispatch::run(Instant now, uint32_t ix) {
+void Dispatch::dispatchQueued(Instant now, uint32_t ix) {
     Service& s = services_[ix];
-    while (!s.waiting.empty()) {
-        Request& r = requests_.at(s.waiting.begin()->second);
-        if (now >= r.is.deadline) {
-            refuse(now, r, false);
+    while (!s.queue.empty()) {
+        Request& r = requests_.at(s.queue.begin()->second);
+        if (now >= r.incoming.deadline) {
+            rejectRequest(now, r, false);
             continue;
         }
-        auto at = pick(now, s, r);
-        if (!at && mayBorrow(now, s, r)) at = borrow(now, ix);
+        auto at = pickInstance(now, s, r);
+        if (!at && mayBorrow(now, s, r)) at = borrowInstance(now, ix);
         if (!at) {
-            hold(now, s);
-            for (InstanceIx each : s.instances) {
+            startPacing(now, s);
+            for (InstanceIndex each : s.instances) {
                 Instance& i = *instances_[each];
-                if (!i.up && i.slots > 0) probe(now, i, each);
-                if (i.up && i.busy < i.slots && now < i.restsUntil) wakeBy(i.restsUntil);
+                if (!i.isReady && i.slots > 0) startProbe(now, i, each);
+                if (i.isReady && i.inFlight < i.slots && now < i.backoffUntil) scheduleWakeup(i.backoffUntil);
             }
             return;
         }
-        if (!s.bucket.ready(now, 0, chance_)) return wakeBy(s.bucket.askAt);
+        if (!s.bucket.ready(now, 0, random_)) return scheduleWakeup(s.bucket.askAt);
         if (s.bucket.bound) s.bucket.tokens -= 1;
-        unqueue(r);
-        send(now, r, *at);
+        dequeue(r);
+        sendRequest(now, r, *at);
     }
-    s.wanting = false;
+    s.isDemandReported = false;
 }
 
-void Dispatch::probe(Instant now, Instance& i, InstanceIx ix) {
-    if (i.probing) return;
-    if (now < i.probeAt) return wakeBy(i.probeAt);
-    i.probing = true, ++counters_.probes;
-    out_.push_back(Probe{ix});
+void Dispatch::startProbe(Instant now, Instance& i, InstanceIndex ix) {
+    if (i.isProbing) return;
+    if (now < i.nextProbeAt) return scheduleWakeup(i.nextProbeAt);
+    i.isProbing = true, ++counters_.probes;
+    outputs_.push_back(ProbeInstance{ix});
 }
 
-void Dispatch::probed(Instant now, InstanceIx ix, bool up) {
+void Dispatch::onProbeResult(Instant now, InstanceIndex ix, bool up) {
     if (ix >= instances_.size() || !instances_[ix]) return;
     Instance& i = *instances_[ix];
-    i.probing = false;
-    if (up && !i.up) {
-        i.up = true;
-        up_.push_back(i.view.id);
+    i.isProbing = false;
+    if (up && !i.isReady) {
+        i.isReady = true;
+        readyInstances_.push_back(i.info.id);
     }
     if (!up) {
-        i.probeAt = now + kProbeEvery;
+        i.nextProbeAt = now + kProbeInterval;
         // Long over its time and still refusing: it is not there.
-        if (now > i.upAt + Span::seconds(3) && !i.deadTold) dead_.push_back(i.view.id), i.deadTold = true;
+        if (now > i.expectedReadyAt + Span::seconds(3) && !i.isReportedDead)
+            deadInstances_.push_back(i.info.id), i.isReportedDead = true;
     }
-    run(now, i.service);
+    dispatchQueued(now, i.service);
 }
 
-void Dispatch::send(Instant now, Request& r, InstanceIx ix) {
+void Dispatch::sendRequest(Instant now, Request& r, InstanceIndex ix) {
     Service& s = services_[r.service];
     Instance& i = *instances_[ix];
-    ++i.busy, ++s.busy, ++counters_.sent;
-    s.peak = std::max(s.peak, s.busy + static_cast<uint32_t>(s.waiting.size()));
-    if (!s.changed) s.changed = true, changed_.push_back(r.service);
+    ++i.inFlight, ++s.inFlight, ++counters_.sent;
+    s.peakDemand = std::max(s.peakDemand, s.inFlight + static_cast<uint32_t>(s.queue.size()));
+    if (!s.hasChanged) s.hasChanged = true, changedServices_.push_back(r.service);
     ++r.attempts;
-    promise(r, false);
-    if (r.attempts > 1) s.budget.further(now, options_.budgetWindow), ++counters_.again;
-    r.out = true, r.at = ix, r.sentAt = now;
+    setPendingRetry(r, false);
+    if (r.attempts > 1) s.retryBudget.recordRetry(now, options_.retryBudgetWindow), ++counters_.retries;
+    r.isInFlight = true, r.instance = ix, r.sentAt = now;
     // An answer may be lost and the connection stay silent. What may run again is given up once it is far
     // beyond what this kind takes, while there is time for another; else it is waited for to its deadline.
     // Harm: an endpoint that suddenly got that slow has its work thrown away once.
     Span patience;
-    const auto& times = kinds_[r.kind].times;
-    if (r.is.repeatable && r.attempts < r.is.maxAttempts && times.count >= 8 && r.last != Ending::silent) {
+    const auto& times = requestClasses_[r.requestClass].latencies;
+    if (r.incoming.isIdempotent && r.attempts < r.incoming.maxAttempts && times.count >= 8 &&
+        r.lastOutcome != AttemptOutcome::timedOut) {
         Span cut = Span::seconds(std::max({2.5 * times.high, 1.5 * times.slowest, 0.15}));
-        if (now + cut + callTime(s, r) * 2 < r.is.deadline && mayGoFurther(now, s)) patience = cut;
+        if (now + cut + expectedCallTime(s, r) * 2 < r.incoming.deadline && mayRetry(now, s)) patience = cut;
     }
-    out_.push_back(SendTo{r.is.id, ix, patience});
+    outputs_.push_back(SendRequest{r.incoming.id, ix, patience});
 }
 
-void Dispatch::freeSlot(Instant now, Instance& i) {
-    if (i.busy > 0) --i.busy;
+void Dispatch::releaseSlot(Instant now, Instance& i) {
+    if (i.inFlight > 0) --i.inFlight;
     Service& s = services_[i.service];
-    if (s.busy > 0) --s.busy;
-    if (i.busy == 0) i.idleSince = now;
-    if (!s.changed) s.changed = true, changed_.push_back(i.service);
-    if (i.busy >= i.slots) noteHeld(i), tellNow(now);  // it was asked back and is free now
+    if (s.inFlight > 0) --s.inFlight;
+    if (i.inFlight == 0) i.idleSince = now;
+    if (!s.hasChanged) s.hasChanged = true, changedServices_.push_back(i.service);
+    if (i.inFlight >= i.slots)
+        recordHeldSlots(i), requestUrgentReport(now);  // it was asked back and is free now
     // Its number is not answered yet. Where others wait here it is in use again at once.
-    if (s.waiting.empty() && heldChanges_.count(i.view.id)) noteHeld(i), tellNow(now);
+    if (s.queue.empty() && heldChanges_.count(i.info.id)) recordHeldSlots(i), requestUrgentReport(now);
 }
 
-void Dispatch::missed(Instant now, Instance& i, InstanceIx) {
-    ++i.misses;
-    i.restsUntil = std::max(i.restsUntil, now + kRest * std::min(i.misses, 4));
-    wakeBy(i.restsUntil);
+void Dispatch::onConnectFailure(Instant now, Instance& i, InstanceIndex) {
+    ++i.connectFailures;
+    i.backoffUntil = std::max(i.backoffUntil, now + kConnectBackoff * std::min(i.connectFailures, 4));
+    scheduleWakeup(i.backoffUntil);
     // Told again at each further miss: one sender's second word counts for the holder, and a word may be
     // lost.
-    if (i.misses >= 2 && now - i.deadToldAt > kDeadAgain) {
-        i.deadTold = true, i.deadToldAt = now;
-        tellNow(now);
-        dead_.push_back(i.view.id);
+    if (i.connectFailures >= 2 && now - i.reportedDeadAt > kDeadReportInterval) {
+        i.isReportedDead = true, i.reportedDeadAt = now;
+        requestUrgentReport(now);
+        deadInstances_.push_back(i.info.id);
     }
 }
 
-void Dispatch::ended(Instant now, RequestId id, Ending how) {
+void Dispatch::onAttemptEnded(Instant now, RequestId id, AttemptOutcome how) {
     auto found = requests_.find(id);
-    if (found == requests_.end() || !found->second.out) return;
+    if (found == requests_.end() || !found->second.isInFlight) return;
     Request& r = found->second;
-    r.out = false, r.last = how;
-    Instance* i = instances_[r.at].get();
+    r.isInFlight = false, r.lastOutcome = how;
+    Instance* i = instances_[r.instance].get();
     Service& s = services_[r.service];
-    bool answered = how == Ending::passed || how == Ending::failed;
+    bool answered = how == AttemptOutcome::answered || how == AttemptOutcome::serverError;
     Span took = now - r.sentAt;
     if (answered) {
-        Kind& kind = kinds_[r.kind];
-        kind.times.add(took, true);
-        kind.mean = kind.mean == 0 ? took.inSeconds() : 0.95 * kind.mean + 0.05 * took.inSeconds();
-        s.mean = s.mean == 0 ? took.inSeconds() : 0.9 * s.mean + 0.1 * took.inSeconds();
-        s.bucket.succeeded(now, slice(s), 2 * slice(s), 1);
+        RequestClass& kind = requestClasses_[r.requestClass];
+        kind.latencies.add(took, true);
+        kind.meanSeconds =
+            kind.meanSeconds == 0 ? took.inSeconds() : 0.95 * kind.meanSeconds + 0.05 * took.inSeconds();
+        s.meanSeconds = s.meanSeconds == 0 ? took.inSeconds() : 0.9 * s.meanSeconds + 0.1 * took.inSeconds();
+        s.bucket.succeeded(now, fairRate(s), 2 * fairRate(s), 1);
     }
-    if (how == Ending::notRun) {
-        ++counters_.full;
-        s.bucket.refused(now, r.sentAt, slice(s), slice(s), true, chance_);
+    if (how == AttemptOutcome::notExecuted) {
+        ++counters_.notExecuted;
+        s.bucket.refused(now, r.sentAt, fairRate(s), fairRate(s), true, random_);
     }
-    if (mayHaveRun(how)) r.mayHaveRun = true;
-    InstanceIx at = r.at;
+    if (mayHaveExecuted(how)) r.mayHaveExecuted = true;
+    InstanceIndex at = r.instance;
     uint32_t service = r.service;
     if (i) {
-        freeSlot(now, *i);
+        releaseSlot(now, *i);
         switch (how) {
-            case Ending::passed:
-            case Ending::failed:
-                i->misses = 0, i->deadTold = false;
+            case AttemptOutcome::answered:
+            case AttemptOutcome::serverError:
+                i->connectFailures = 0, i->isReportedDead = false;
                 break;
-            case Ending::notRun:
+            case AttemptOutcome::notExecuted:
                 // Somebody else has its slots, or a call that we gave up still runs there.
                 if (i->slots == 0) {
-                    ++counters_.borrowedFull;
-                    s.borrowAt = now + Span::seconds(chance_.between(0.1, 0.3));
+                    ++counters_.borrowedNotExecuted;
+                    s.nextBorrowAt = now + Span::seconds(random_.between(0.1, 0.3));
                 }
-                i->restsUntil = std::max(i->restsUntil, now + Span::millis(40));
-                wakeBy(i->restsUntil);
+                i->backoffUntil = std::max(i->backoffUntil, now + Span::millis(40));
+                scheduleWakeup(i->backoffUntil);
                 break;
-            case Ending::misdirected:
-                ++counters_.misdirected, ++i->misses;
-                missed(now, *i, at);
+            case AttemptOutcome::misdirected:
+                ++counters_.misdirected, ++i->connectFailures;
+                onConnectFailure(now, *i, at);
                 break;
-            case Ending::unconnected:
-                ++counters_.unconnected;
-                missed(now, *i, at);
+            case AttemptOutcome::connectFailed:
+                ++counters_.connectFailed;
+                onConnectFailure(now, *i, at);
                 break;
-            case Ending::broken:
-                ++counters_.broken;
+            case AttemptOutcome::connectionBroken:
+                ++counters_.connectionBroken;
                 break;
-            case Ending::silent:
-                ++counters_.silent;
-                i->restsUntil = std::max(i->restsUntil, now + Span::millis(40));
-                wakeBy(i->restsUntil);
+            case AttemptOutcome::timedOut:
+                ++counters_.timedOut;
+                i->backoffUntil = std::max(i->backoffUntil, now + Span::millis(40));
+                scheduleWakeup(i->backoffUntil);
                 break;
-            case Ending::unsent:
+            case AttemptOutcome::notSent:
                 break;
         }
-        if (i->slots == 0 && i->busy == 0) dropInstance(now, at);
+        if (i->slots == 0 && i->inFlight == 0) removeInstance(now, at);
     }
-    if (answered && (how == Ending::passed || !r.is.repeatable || r.attempts >= r.is.maxAttempts)) {
-        ++counters_.passed;
-        out_.push_back(PassOn{id});
+    if (answered && (how == AttemptOutcome::answered || !r.incoming.isIdempotent ||
+                     r.attempts >= r.incoming.maxAttempts)) {
+        ++counters_.forwarded;
+        outputs_.push_back(ForwardResponse{id});
         requests_.erase(found);
     } else {
-        again(now, r);
+        retryOrFinish(now, r);
     }
-    run(now, service);
+    dispatchQueued(now, service);
 }
 
 // Whether this sender may send one more request for a further time. Half of the slack is shared by the
@@ -559,180 +568,185 @@
 // and tells of one. A sender that was started again has forgotten what it used: its part of the slack comes
 // back to it over one window, so that many short lives together use no more than one long life. Harm: after
 // a start the first answers that are lost are not made good here, but by their clients.
-bool Dispatch::mayGoFurther(Instant now, Service& s) {
-    if (now - options_.budgetWindow > fewerSince_) mostSenders_ = senders_, fewerSince_ = Instant::never();
-    double part = options_.budgetSlack / mostSenders_ / 2;
-    if (options_.forgot && now - bornAt_ < options_.budgetWindow)
-        part *= (now - bornAt_).inSeconds() / options_.budgetWindow.inSeconds();
+bool Dispatch::mayRetry(Instant now, Service& s) {
+    if (now - options_.retryBudgetWindow > fewerProxiesSince_)
+        maxProxyCount_ = proxyCount_, fewerProxiesSince_ = Instant::never();
+    double part = options_.retryBudgetSlack / maxProxyCount_ / 2;
+    if (options_.mayHaveRestarted && now - createdAt_ < options_.retryBudgetWindow)
+        part *= (now - createdAt_).inSeconds() / options_.retryBudgetWindow.inSeconds();
     // What was allowed and waits for a slot counts already: else a whole crowd that failed at once while no
     // slot was free would be allowed one by one and sent together.
-    return s.budget.allows(now, options_.budgetWindow, options_.budgetRatio, part - s.promised);
+    return s.retryBudget.allowsRetry(now, options_.retryBudgetWindow, options_.retryBudgetRatio,
+                                     part - s.pendingRetries);
 }
 
 // Many are sent while the budget has room for one further send; the others wait on. Given up all the same,
 // they would end with a failure while their endpoint is at work and their client has time.
-bool Dispatch::mayGiveUp(Instant now, RequestId id) {
+bool Dispatch::mayAbandonAttempt(Instant now, RequestId id) {
     auto found = requests_.find(id);
-    if (found == requests_.end() || !found->second.out) return true;
+    if (found == requests_.end() || !found->second.isInFlight) return true;
     Service& s = services_[found->second.service];
-    return now + callTime(s, found->second) < found->second.is.deadline && mayGoFurther(now, s);
+    return now + expectedCallTime(s, found->second) < found->second.incoming.deadline && mayRetry(now, s);
 }
 
-void Dispatch::promise(Request& r, bool is) {
-    if (r.promised == is) return;
-    r.promised = is;
-    services_[r.service].promised += is ? 1 : -1;
+void Dispatch::setPendingRetry(Request& r, bool is) {
+    if (r.hasPendingRetry == is) return;
+    r.hasPendingRetry = is;
+    services_[r.service].pendingRetries += is ? 1 : -1;
 }
 
 // A request that was not answered: once more elsewhere, told that it has not run, or given up.
-void Dispatch::again(Instant now, Request& r) {
+void Dispatch::retryOrFinish(Instant now, Request& r) {
     Service& s = services_[r.service];
-    bool sent = r.last != Ending::unconnected && r.last != Ending::unsent;
+    bool sent = r.lastOutcome != AttemptOutcome::connectFailed && r.lastOutcome != AttemptOutcome::notSent;
     if (!sent) --r.attempts;  // no endpoint has seen it
-    bool mayRunAgain = r.is.repeatable || !r.mayHaveRun;
-    bool time = now + callTime(s, r) < r.is.deadline;
-    bool paid = !sent || (r.attempts < r.is.maxAttempts && mayGoFurther(now, s));
+    bool mayRunAgain = r.incoming.isIdempotent || !r.mayHaveExecuted;
+    bool time = now + expectedCallTime(s, r) < r.incoming.deadline;
+    bool paid = !sent || (r.attempts < r.incoming.maxAttempts && mayRetry(now, s));
     if (mayRunAgain && time && paid) {
-        if (r.attempts > 0) promise(r, true);
-        r.avoid = r.at;
-        r.holdUntil = std::max(now, std::min(r.holdUntil, r.is.deadline));
-        queue(r);
-        Instant until = std::min(std::max(r.holdUntil, now + Span::millis(200)), r.is.deadline);
-        holds_.emplace(until, r.is.id);
-        wakeBy(until);
+        if (r.attempts > 0) setPendingRetry(r, true);
+        r.avoidInstance = r.instance;
+        r.queueUntil = std::max(now, std::min(r.queueUntil, r.incoming.deadline));
+        enqueue(r);
+        Instant until = std::min(std::max(r.queueUntil, now + Span::millis(200)), r.incoming.deadline);
+        queueDeadlines_.emplace(until, r.incoming.id);
+        scheduleWakeup(until);
         return;
     }
-    if (!r.mayHaveRun) return refuse(now, r, false);
-    ++counters_.gaveUp;
-    if (r.last == Ending::failed) {
-        out_.push_back(PassOn{r.is.id});
+    if (!r.mayHaveExecuted) return rejectRequest(now, r, false);
+    ++counters_.failed;
+    if (r.lastOutcome == AttemptOutcome::serverError) {
+        outputs_.push_back(ForwardResponse{r.incoming.id});
     } else {
-        out_.push_back(GiveUp{r.is.id, r.last == Ending::silent ? 504 : 502});
+        outputs_.push_back(FailRequest{r.incoming.id, r.lastOutcome == AttemptOutcome::timedOut ? 504 : 502});
     }
-    close(r);
+    eraseRequest(r);
 }
 
-void Dispatch::close(Request& r) {
-    RequestId id = r.is.id;
-    promise(r, false);
+void Dispatch::eraseRequest(Request& r) {
+    RequestId id = r.incoming.id;
+    setPendingRetry(r, false);
     requests_.erase(id);
 }
 
-void Dispatch::refuse(Instant now, Request& r, bool atOnce) {
-    if (r.mayHaveRun) {  // the promise can't be given
-        unqueue(r);
-        ++counters_.gaveUp;
-        if (r.last == Ending::failed)
-            out_.push_back(PassOn{r.is.id});
+void Dispatch::rejectRequest(Instant now, Request& r, bool atOnce) {
+    if (r.mayHaveExecuted) {  // the promise can't be given
+        dequeue(r);
+        ++counters_.failed;
+        if (r.lastOutcome == AttemptOutcome::serverError)
+            outputs_.push_back(ForwardResponse{r.incoming.id});
         else
-            out_.push_back(GiveUp{r.is.id, r.last == Ending::silent ? 504 : 502});
-        return close(r);
+            outputs_.push_back(
+                FailRequest{r.incoming.id, r.lastOutcome == AttemptOutcome::timedOut ? 504 : 502});
+        return eraseRequest(r);
     }
-    ++(atOnce ? counters_.refusedAtOnce : counters_.refusedHeld);
+    ++(atOnce ? counters_.rejectedImmediately : counters_.rejectedAfterQueueing);
     Service& s = services_[r.service];
-    unqueue(r);
-    Span wait = expectedWait(now, s, s.waiting.size() / 2, false);
-    wait = wait + Span::seconds(chance_.between(0.05, 0.25));  // the design's random extra on every wait
-    out_.push_back(
-        Refuse{r.is.id, 503, std::min(wait, std::max((r.is.deadline - now) * 0.33, Span::millis(50)))});
-    close(r);
+    dequeue(r);
+    Span wait = expectedWait(now, s, s.queue.size() / 2, false);
+    wait = wait + Span::seconds(random_.between(0.05, 0.25));  // the design's random extra on every wait
+    outputs_.push_back(RejectRequest{
+        r.incoming.id, 503, std::min(wait, std::max((r.incoming.deadline - now) * 0.33, Span::millis(50)))});
+    eraseRequest(r);
 }
 
-void Dispatch::leaving(Instant now) {
-    leaving_ = true;
-    report(now, true);
+void Dispatch::startDraining(Instant now) {
+    isDraining_ = true;
+    sendReport(now, true);
 }
 
-void Dispatch::turnAway(Instant now) {
+void Dispatch::rejectQueued(Instant now) {
     std::vector<RequestId> all;
-    for (uint32_t i : hungry_)
-        for (const auto& [key, id] : services_[i].waiting) all.push_back(id);
-    for (RequestId id : all) refuse(now, requests_.at(id), false);
+    for (uint32_t i : queuedServices_)
+        for (const auto& [key, id] : services_[i].queue) all.push_back(id);
+    for (RequestId id : all) rejectRequest(now, requests_.at(id), false);
 }
 
-void Dispatch::report(Instant now, bool whole) {
-    urgent_ = false;
-    if (!linked_) {  // nobody hears; what is still so is told to the next holder
+void Dispatch::sendReport(Instant now, bool whole) {
+    isReportUrgent_ = false;
+    if (!isLinked_) {  // nobody hears; what is still so is told to the next holder
         reportedAt_ = now;
         return;
     }
     scaler::Report out;
-    out.term = term_, out.whole = whole, out.leaving = leaving_;
+    out.term = term_, out.whole = whole, out.leaving = isDraining_;
     out.spanMs = static_cast<uint32_t>((now - reportedAt_).inMicros() / 1000);
     reportedAt_ = now;
     if (whole) {
-        changed_.clear();
+        changedServices_.clear();
         for (uint32_t i = 0; i < services_.size(); ++i)
-            if (services_[i].changed || services_[i].busy > 0 || !services_[i].waiting.empty())
-                changed_.push_back(i);
+            if (services_[i].hasChanged || services_[i].inFlight > 0 || !services_[i].queue.empty())
+                changedServices_.push_back(i);
         heldChanges_.clear();
         for (auto& i : instances_)
             if (i) {
-                noteHeld(*i);
+                recordHeldSlots(*i);
                 // Another holder has not heard what was told to the one before.
-                if (i->deadTold && std::find(dead_.begin(), dead_.end(), i->view.id) == dead_.end())
-                    dead_.push_back(i->view.id);
-                if (i->up && !i->deadTold) up_.push_back(i->view.id);
+                if (i->isReportedDead && std::find(deadInstances_.begin(), deadInstances_.end(),
+                                                   i->info.id) == deadInstances_.end())
+                    deadInstances_.push_back(i->info.id);
+                if (i->isReady && !i->isReportedDead) readyInstances_.push_back(i->info.id);
             }
     }
-    for (uint32_t ix : changed_) {
+    for (uint32_t ix : changedServices_) {
         Service& s = services_[ix];
-        s.changed = false;
-        out.demands.push_back({s.spec.name, static_cast<uint32_t>(s.waiting.size()), s.busy, s.peak,
-                               s.arrived, static_cast<uint32_t>(s.mean * 1e6)});
-        s.peak = s.busy + static_cast<uint32_t>(s.waiting.size()), s.arrived = 0;
-        for (InstanceIx i : s.instances) {
+        s.hasChanged = false;
+        out.demands.push_back({s.spec.name, static_cast<uint32_t>(s.queue.size()), s.inFlight, s.peakDemand,
+                               s.arrivals, static_cast<uint32_t>(s.meanSeconds * 1e6)});
+        s.peakDemand = s.inFlight + static_cast<uint32_t>(s.queue.size()), s.arrivals = 0;
+        for (InstanceIndex i : s.instances) {
             Instance& each = *instances_[i];
-            if (heldChanges_.count(each.view.id) == 0)
-                heldChanges_[each.view.id] = {each.view.id, "", "", std::max(each.slots, each.busy),
-                                              each.busy};
+            if (heldChanges_.count(each.info.id) == 0)
+                heldChanges_[each.info.id] = {each.info.id, "", "", std::max(each.slots, each.inFlight),
+                                              each.inFlight};
         }
     }
-    changed_.clear();
+    changedServices_.clear();
     for (auto& [id, held] : heldChanges_) {
         // The holder that has had a whole report knows them by their ids.
         if (!whole) held.service.clear(), held.address.clear();
         out.held.push_back(std::move(held));
     }
     heldChanges_.clear();
-    out.dead.swap(dead_), out.up.swap(up_);
+    out.dead.swap(deadInstances_), out.up.swap(readyInstances_);
     ++counters_.reports;
-    out_.push_back(Tell{std::move(out)});
+    outputs_.push_back(SendReport{std::move(out)});
 }
 
-void Dispatch::sweep(Instant now) {
-    sweepAt_ = now + kSweep;
-    while (!holds_.empty() && holds_.begin()->first <= now) {
-        RequestId id = holds_.begin()->second;
-        holds_.erase(holds_.begin());
+void Dispatch::rejectOverdue(Instant now) {
+    nextSweepAt_ = now + kSweepInterval;
+    while (!queueDeadlines_.empty() && queueDeadlines_.begin()->first <= now) {
+        RequestId id = queueDeadlines_.begin()->second;
+        queueDeadlines_.erase(queueDeadlines_.begin());
         auto found = requests_.find(id);
-        if (found == requests_.end() || found->second.out) continue;
-        refuse(now, found->second, false);
+        if (found == requests_.end() || found->second.isInFlight) continue;
+        rejectRequest(now, found->second, false);
     }
 }
 
 void Dispatch::tick(Instant now) {
     wakeAt_ = now + Span::millis(250);
-    if (now >= sweepAt_) sweep(now);
-    if (!holds_.empty()) wakeBy(std::max(holds_.begin()->first, sweepAt_));
-    if (!hungry_.empty()) {
-        std::vector<uint32_t> all(hungry_.begin(), hungry_.end());
-        for (uint32_t i : all) run(now, i);
+    if (now >= nextSweepAt_) rejectOverdue(now);
+    if (!queueDeadlines_.empty()) scheduleWakeup(std::max(queueDeadlines_.begin()->first, nextSweepAt_));
+    if (!queuedServices_.empty()) {
+        std::vector<uint32_t> all(queuedServices_.begin(), queuedServices_.end());
+        for (uint32_t i : all) dispatchQueued(now, i);
     }
-    bool anything = !changed_.empty() || !heldChanges_.empty() || !dead_.empty() || !up_.empty();
-    const bool urgentDue = urgent_ && now >= urgentAt(now);
-    if (urgent_ && !urgentDue) wakeBy(urgentAt(now));
-    if (urgentDue || (anything && now - reportedAt_ >= kReportEvery))
-        report(now, false);
+    bool anything = !changedServices_.empty() || !heldChanges_.empty() || !deadInstances_.empty() ||
+                    !readyInstances_.empty();
+    const bool urgentDue = isReportUrgent_ && now >= urgentReportAt(now);
+    if (isReportUrgent_ && !urgentDue) scheduleWakeup(urgentReportAt(now));
+    if (urgentDue || (anything && now - reportedAt_ >= kReportInterval))
+        sendReport(now, false);
     else if (anything)
-        wakeBy(reportedAt_ + kReportEvery);
-    if (held_ > 0) wakeBy(now + kUrgentAgain);
+        scheduleWakeup(reportedAt_ + kReportInterval);
+    if (queuedCount_ > 0) scheduleWakeup(now + kDemandRepeatInterval);
 }
 
 std::optional<Output> Dispatch::next() {
-    if (out_.empty()) return std::nullopt;
-    Output first = std::move(out_.front());
-    out_.pop_front();
+    if (outputs_.empty()) return std::nullopt;
+    Output first = std::move(outputs_.front());
+    outputs_.pop_front();
     return first;
 }
 
--- a/system/proxy/dispatch.hpp
+++ b/system/proxy/dispatch.hpp
@@ -27,7 +27,7 @@
 namespace petrelpond::proxy {
 
 using RequestId = uint64_t;
-using InstanceIx = uint32_t;
+using InstanceIndex = uint32_t;
 
 struct ServiceSpec {
     std::string name;
@@ -36,218 +36,223 @@
     int maxConnections = 0;  // that one instance takes from all senders together; 0: not known
 };
 
-struct Arrival {
+struct IncomingRequest {
     RequestId id = 0;
     std::string service;
-    bool repeatable = false;
+    bool isIdempotent = false;
     int priority = 2;     // 0 is highest
     int maxAttempts = 1;  // endpoints that it may be sent to
     Instant deadline;     // the client's or the route's, whichever is sooner
-    Span target;          // the time within which it earns its full worth
-    Span timeout;         // the route's; with the fields above it tells kinds of request apart
+    Span targetLatency;   // the time within which it earns its full worth
+    Span routeTimeout;    // the route's; with the fields above it tells kinds of request apart
 };
 
 // How a request that was sent ended. One place says what that means for running it again: mayHaveRun().
-enum class Ending : uint8_t {
-    passed,       // an answer that is the client's
-    failed,       // the endpoint's own failure (5xx), which counts as run
-    notRun,       // the endpoint says that it did not run it: full
-    misdirected,  // 421: another endpoint has the address
-    unconnected,  // no connection came up; nothing was sent
-    unsent,       // the connection ended before any byte of the request had left
-    broken,       // reset, closed, or bytes that are no answer, after something was sent
-    silent,       // given up by us after something was sent
+enum class AttemptOutcome : uint8_t {
+    answered,          // an answer that is the client's
+    serverError,       // the endpoint's own failure (5xx), which counts as run
+    notExecuted,       // the endpoint says that it did not run it: full
+    misdirected,       // 421: another endpoint has the address
+    connectFailed,     // no connection came up; nothing was sent
+    notSent,           // the connection ended before any byte of the request had left
+    connectionBroken,  // reset, closed, or bytes that are no answer, after something was sent
+    timedOut,          // given up by us after something was sent
 };
-bool mayHaveRun(Ending);
+bool mayHaveExecuted(AttemptOutcome);
 
-struct SendTo {
+struct SendRequest {
     RequestId id;
-    InstanceIx at;
-    Span patience;  // give it up as silent after this; zero: at its deadline
+    InstanceIndex instance;
+    Span attemptTimeout;  // give it up as silent after this; zero: at its deadline
 };
-struct Refuse {  // has not run and never will
+struct RejectRequest {  // has not run and never will
     RequestId id;
     int status;
-    Span comeBack;
+    Span retryAfter;
 };
-struct GiveUp {  // may have run: 502 or 504, or the endpoint's own failure where there is one
+struct FailRequest {  // may have run: 502 or 504, or the endpoint's own failure where there is one
     RequestId id;
     int status;
 };
-struct PassOn {  // the answer that the host holds for this request
+struct ForwardResponse {  // the answer that the host holds for this request
     RequestId id;
 };
-struct Probe {  // see whether it takes a connection
-    InstanceIx at;
+struct ProbeInstance {  // see whether it takes a connection
+    InstanceIndex instance;
 };
-struct Drop {  // no slot of it is ours any more
-    InstanceIx at;
-    size_t mayKeep;  // so many idle connections to it may stay open, as a slot may come back
+struct ReleaseInstance {  // no slot of it is ours any more
+    InstanceIndex instance;
+    size_t maxIdleConnections;  // so many idle connections to it may stay open, as a slot may come back
 };
-struct Tell {
+struct SendReport {
     scaler::Report report;
 };
-using Output = std::variant<SendTo, Refuse, GiveUp, PassOn, Probe, Drop, Tell>;
+using Output = std::variant<SendRequest, RejectRequest, FailRequest, ForwardResponse, ProbeInstance,
+                            ReleaseInstance, SendReport>;
 
-struct InstanceView {
+struct InstanceInfo {
     std::string id, address, zone;
 };
 
 struct Counters {
-    uint64_t arrived = 0, sent = 0, passed = 0, refusedAtOnce = 0, refusedHeld = 0, again = 0, gaveUp = 0;
-    uint64_t full = 0, misdirected = 0, broken = 0, silent = 0, unconnected = 0, probes = 0, reports = 0;
-    uint64_t borrowed = 0, borrowedFull = 0;  // sent without a slot of ours; turned away as full
+    uint64_t received = 0, sent = 0, forwarded = 0, rejectedImmediately = 0, rejectedAfterQueueing = 0,
+             retries = 0, failed = 0;
+    uint64_t notExecuted = 0, misdirected = 0, connectionBroken = 0, timedOut = 0, connectFailed = 0,
+             probes = 0, reports = 0;
+    uint64_t borrowed = 0, borrowedNotExecuted = 0;  // sent without a slot of ours; turned away as full
 };
 
 class Dispatch {
   public:
     struct Options {
-        uint32_t chance = 1;
+        uint32_t seed = 1;
         std::string zone;
-        double budgetRatio = 0.2, budgetSlack = 50;
-        Span budgetWindow = Span::seconds(10);
+        double retryBudgetRatio = 0.2, retryBudgetSlack = 50;
+        Span retryBudgetWindow = Span::seconds(10);
         // An earlier life may have made further sends that nobody here remembers.
-        bool forgot = false;
+        bool mayHaveRestarted = false;
     };
     Dispatch(Instant now, Options);
 
     // So many may wait at most. Beyond, who can't be sent at once is told so: those who wait hold a
     // connection each, and where none is left a client is reset without a word of when to come back.
-    void bound(size_t mostHeld) { mostHeld_ = mostHeld; }
-    void configured(Instant now, const std::vector<ServiceSpec>&);
+    void setMaxQueued(size_t mostHeld) { maxQueued_ = mostHeld; }
+    void updateServices(Instant now, const std::vector<ServiceSpec>&);
     // The holder that is reported to, and the number of living senders. A new term or link asks for all anew.
-    void standing(Instant now, uint64_t term, bool linked, uint32_t senders);
-    void unlinked() { linked_ = false; }  // the way to the holder is broken
+    void updatePlannerStatus(Instant now, uint64_t term, bool linked, uint32_t senders);
+    void onPlannerDisconnected() { isLinked_ = false; }  // the way to the holder is broken
     // Nothing is heard of the holder: who waits without a slot may borrow one, see borrow().
-    void holderSilent(Instant now, bool);
-    void granted(Instant now, const scaler::Grants&);
-    void arrived(Instant now, const Arrival&);
-    void withdrawn(Instant now, RequestId);  // its client has gone; nothing is answered
-    void ended(Instant now, RequestId, Ending);
+    void setPlannerSilent(Instant now, bool);
+    void applyGrants(Instant now, const scaler::Grants&);
+    void onRequest(Instant now, const IncomingRequest&);
+    void cancelRequest(Instant now, RequestId);  // its client has gone; nothing is answered
+    void onAttemptEnded(Instant now, RequestId, AttemptOutcome);
     // Whether a request that was sent with patience may be given up now that it is over.
-    bool mayGiveUp(Instant now, RequestId);
-    void probed(Instant now, InstanceIx, bool up);
-    void leaving(Instant now);
-    void turnAway(Instant now);  // all that wait are told that they have not run; the process is about to end
+    bool mayAbandonAttempt(Instant now, RequestId);
+    void onProbeResult(Instant now, InstanceIndex, bool up);
+    void startDraining(Instant now);
+    void rejectQueued(
+        Instant now);  // all that wait are told that they have not run; the process is about to end
     void tick(Instant now);
     Instant wakeAt() const { return wakeAt_; }
     std::optional<Output> next();
 
-    const InstanceView* instance(InstanceIx) const;
-    bool waits(RequestId id) const;
+    const InstanceInfo* findInstance(InstanceIndex) const;
+    bool isQueued(RequestId id) const;
     const Counters& counters() const { return counters_; }
-    size_t held() const { return held_; }  // requests that wait
+    size_t queuedCount() const { return queuedCount_; }  // requests that wait
 
   private:
-    struct Kind {  // requests alike: their answer times are learned together, as rare functions see few
-        policy::AnswerTimes times;
-        double mean = 0;  // seconds; of answers
+    struct RequestClass {  // requests alike: their answer times are learned together, as rare functions see
+                           // few
+        policy::AnswerTimes latencies;
+        double meanSeconds = 0;  // seconds; of answers
     };
     struct Instance {
-        InstanceView view;
+        InstanceInfo info;
         uint32_t service = 0;
-        uint32_t slots = 0, busy = 0;
-        bool up = false, probing = false, dropped = false;
-        Instant upAt;  // when its start is thought to be over
-        Instant probeAt = Instant::longAgo();
-        Instant restsUntil = Instant::longAgo();  // it just refused: not before
+        uint32_t slots = 0, inFlight = 0;
+        bool isReady = false, isProbing = false, isReleased = false;
+        Instant expectedReadyAt;  // when its start is thought to be over
+        Instant nextProbeAt = Instant::longAgo();
+        Instant backoffUntil = Instant::longAgo();  // it just refused: not before
         Instant idleSince;
-        int misses = 0;  // failed connects and breaks since it last answered
-        bool deadTold = false;
-        bool ends = false;  // as the holder said
-        Instant deadToldAt = Instant::longAgo();
+        int connectFailures = 0;  // failed connects and breaks since it last answered
+        bool isReportedDead = false;
+        bool isTerminating = false;  // as the holder said
+        Instant reportedDeadAt = Instant::longAgo();
     };
     // An instance that had a slot of ours not long ago.
-    struct Former {
-        InstanceView view;
-        Instant until;  // then it is forgotten
+    struct FormerInstance {
+        InstanceInfo info;
+        Instant expiresAt;  // then it is forgotten
     };
     struct Service {
         ServiceSpec spec;
-        bool known = false;
-        std::vector<InstanceIx> instances;
-        std::map<std::pair<int, uint64_t>, RequestId> waiting;  // by priority, then in order
+        bool isConfigured = false;
+        std::vector<InstanceIndex> instances;
+        std::map<std::pair<int, uint64_t>, RequestId> queue;  // by priority, then in order
         policy::Bucket bucket;
-        Budget budget;
-        uint32_t promised = 0;  // further sends that were allowed and have not gone out yet
-        double mean = 0;        // seconds of a call; 0: none seen
-        uint32_t busy = 0, peak = 0, arrived = 0;
+        RetryBudget retryBudget;
+        uint32_t pendingRetries = 0;  // further sends that were allowed and have not gone out yet
+        double meanSeconds = 0;       // seconds of a call; 0: none seen
+        uint32_t inFlight = 0, peakDemand = 0, arrivals = 0;
         uint32_t fleetSlots = 0;
-        std::vector<Former> formers;            // oldest first
-        Instant borrowAt = Instant::longAgo();  // not before, as one was full
-        bool changed = false, wanting = false;
-        Instant wantedAt = Instant::longAgo();
+        std::vector<FormerInstance> formerInstances;  // oldest first
+        Instant nextBorrowAt = Instant::longAgo();    // not before, as one was full
+        bool hasChanged = false, isDemandReported = false;
+        Instant demandReportedAt = Instant::longAgo();
     };
     struct Request {
-        Arrival is;
-        Instant cameAt, sentAt, holdUntil;
-        uint32_t service = 0, kind = 0;
-        uint64_t order = 0;
+        IncomingRequest incoming;
+        Instant receivedAt, sentAt, queueUntil;
+        uint32_t service = 0, requestClass = 0;
+        uint64_t sequence = 0;
         int attempts = 0;
-        bool out = false, mayHaveRun = false, promised = false;
-        InstanceIx at = 0, avoid = UINT32_MAX;
-        Ending last = Ending::notRun;
+        bool isInFlight = false, mayHaveExecuted = false, hasPendingRetry = false;
+        InstanceIndex instance = 0, avoidInstance = UINT32_MAX;
+        AttemptOutcome lastOutcome = AttemptOutcome::notExecuted;
     };
 
-    uint32_t serviceOf(const std::string& name);
-    uint32_t kindOf(const Arrival&);
-    void wakeBy(Instant at) { wakeAt_ = std::min(wakeAt_, at); }
-    void queue(Request&);
-    void unqueue(Request&);
-    void run(Instant now, uint32_t service);
-    void hold(Instant now, Service&);
-    void raise(Instant now, Service&);
-    Instant urgentAt(Instant now) const;
-    void tellNow(Instant now);  // a report in this round, not with the next that gathers
-    std::optional<InstanceIx> pick(Instant now, const Service&, const Request&) const;
-    double slice(const Service&) const;
+    uint32_t findOrAddService(const std::string& name);
+    uint32_t findOrAddRequestClass(const IncomingRequest&);
+    void scheduleWakeup(Instant at) { wakeAt_ = std::min(wakeAt_, at); }
+    void enqueue(Request&);
+    void dequeue(Request&);
+    void dispatchQueued(Instant now, uint32_t service);
+    void startPacing(Instant now, Service&);
+    void raisePacingRate(Instant now, Service&);
+    Instant urgentReportAt(Instant now) const;
+    void requestUrgentReport(Instant now);  // a report in this round, not with the next that gathers
+    std::optional<InstanceIndex> pickInstance(Instant now, const Service&, const Request&) const;
+    double fairRate(const Service&) const;
     // passedOn: as a slot that another sender has may be ours soon; not for when to come back.
     Span expectedWait(Instant now, const Service&, size_t ahead, bool passedOn) const;
-    Span callTime(const Service&, const Request&) const;
-    void send(Instant now, Request&, InstanceIx);
-    void freeSlot(Instant now, Instance&);
-    void again(Instant now, Request&);
-    bool mayGoFurther(Instant now, Service&);
-    void promise(Request&, bool);
-    void refuse(Instant now, Request&, bool atOnce);
-    void close(Request&);
-    void probe(Instant now, Instance&, InstanceIx);
-    void missed(Instant now, Instance&, InstanceIx);
-    InstanceIx makeInstance(Instant now, const InstanceView&, uint32_t service);
+    Span expectedCallTime(const Service&, const Request&) const;
+    void sendRequest(Instant now, Request&, InstanceIndex);
+    void releaseSlot(Instant now, Instance&);
+    void retryOrFinish(Instant now, Request&);
+    bool mayRetry(Instant now, Service&);
+    void setPendingRetry(Request&, bool);
+    void rejectRequest(Instant now, Request&, bool atOnce);
+    void eraseRequest(Request&);
+    void startProbe(Instant now, Instance&, InstanceIndex);
+    void onConnectFailure(Instant now, Instance&, InstanceIndex);
+    InstanceIndex addInstance(Instant now, const InstanceInfo&, uint32_t service);
     bool mayBorrow(Instant now, Service&, const Request&);
-    InstanceIx borrow(Instant now, uint32_t service);
-    void remember(Instant now, const Instance&);
-    void forget(Service&, const std::string& instance);
-    void dropInstance(Instant now, InstanceIx);
-    size_t connectionsKept(const Instance&) const;
-    void noteHeld(Instance&);
-    void report(Instant now, bool whole);
-    void sweep(Instant now);
+    InstanceIndex borrowInstance(Instant now, uint32_t service);
+    void rememberInstance(Instant now, const Instance&);
+    void forgetFormerInstance(Service&, const std::string& instance);
+    void removeInstance(Instant now, InstanceIndex);
+    size_t maxIdleConnections(const Instance&) const;
+    void recordHeldSlots(Instance&);
+    void sendReport(Instant now, bool whole);
+    void rejectOverdue(Instant now);
 
     Options options_;
-    policy::Chance chance_;
+    policy::Chance random_;
     std::vector<Service> services_;
     std::unordered_map<std::string, uint32_t> serviceByName_;
     std::vector<std::unique_ptr<Instance>> instances_;
-    std::vector<InstanceIx> freeIx_;
-    std::unordered_map<std::string, InstanceIx> instanceById_;
+    std::vector<InstanceIndex> freeIndices_;
+    std::unordered_map<std::string, InstanceIndex> instanceById_;
     std::unordered_map<RequestId, Request> requests_;
-    std::map<std::array<int64_t, 4>, uint32_t> kindByKey_;
-    std::vector<Kind> kinds_;
-    std::multimap<Instant, RequestId> holds_;  // until when a request may wait; looked at in sweeps
-    std::deque<Output> out_;
-    std::vector<std::string> dead_, up_;
+    std::map<std::array<int64_t, 4>, uint32_t> requestClassByKey_;
+    std::vector<RequestClass> requestClasses_;
+    std::multimap<Instant, RequestId> queueDeadlines_;  // until when a request may wait; looked at in sweeps
+    std::deque<Output> outputs_;
+    std::vector<std::string> deadInstances_, readyInstances_;
     std::map<std::string, scaler::Held> heldChanges_;
-    std::vector<uint32_t> changed_;
-    std::set<uint32_t> hungry_;  // services for which requests wait
-    uint64_t term_ = 0, grantedTerm_ = 0, order_ = 0;
-    bool silent_ = false;  // nothing is heard of the holder
-    bool linked_ = false, urgent_ = false, leaving_ = false;
-    uint32_t senders_ = 1, mostSenders_ = 1;  // as told; the most of them within a window
-    Instant fewerSince_ = Instant::never();
-    Instant bornAt_;
-    Instant reportedAt_, wakeAt_, sweepAt_;
-    size_t held_ = 0, mostHeld_ = SIZE_MAX;
+    std::vector<uint32_t> changedServices_;
+    std::set<uint32_t> queuedServices_;  // services for which requests wait
+    uint64_t term_ = 0, grantsTerm_ = 0, lastSequence_ = 0;
+    bool isPlannerSilent_ = false;  // nothing is heard of the holder
+    bool isLinked_ = false, isReportUrgent_ = false, isDraining_ = false;
+    uint32_t proxyCount_ = 1, maxProxyCount_ = 1;  // as told; the most of them within a window
+    Instant fewerProxiesSince_ = Instant::never();
+    Instant createdAt_;
+    Instant reportedAt_, wakeAt_, nextSweepAt_;
+    size_t queuedCount_ = 0, maxQueued_ = SIZE_MAX;
     Counters counters_;
 };
 
--- a/system/proxy/dispatch_test.cpp
+++ b/system/proxy/dispatch_test.cpp
@@ -13,14 +13,19 @@
 
 const Instant kStart = Instant::atMicros(1'000'000'000);
 
-constexpr Ending kEndings[] = {Ending::passed,      Ending::failed, Ending::notRun, Ending::misdirected,
-                               Ending::unconnected, Ending::unsent, Ending::broken, Ending::silent};
+constexpr AttemptOutcome kEndings[] = {AttemptOutcome::answered,         AttemptOutcome::serverError,
+                                       AttemptOutcome::notExecuted,      AttemptOutcome::misdirected,
+                                       AttemptOutcome::connectFailed,    AttemptOutcome::notSent,
+                                       AttemptOutcome::connectionBroken, AttemptOutcome::timedOut};
 
 // What an ending truly means for the request, told here once more: the core is not asked to judge itself.
-bool trulyMayHaveRun(Ending e) {
-    return e == Ending::passed || e == Ending::failed || e == Ending::broken || e == Ending::silent;
+bool trulyMayHaveRun(AttemptOutcome e) {
+    return e == AttemptOutcome::answered || e == AttemptOutcome::serverError ||
+           e == AttemptOutcome::connectionBroken || e == AttemptOutcome::timedOut;
+}
+bool reachedAnEndpoint(AttemptOutcome e) {
+    return e != AttemptOutcome::connectFailed && e != AttemptOutcome::notSent;
 }
-bool reachedAnEndpoint(Ending e) { return e != Ending::unconnected && e != Ending::unsent; }
 
 scaler::Grant grant(const std::string& instance, uint32_t slots, uint32_t upInMs = 0) {
     return {instance, "s", "10.0.0.1:80", "here", slots, upInMs};
@@ -35,8 +40,8 @@
     uint64_t nextId = 1;
 
     explicit Play(Dispatch::Options options = {1, "here"}, int boot = 1000) : core(now, options) {
-        core.configured(now, {{"s", 8, Span::millis(boot)}});
-        core.standing(now, 1, true, 1);
+        core.updateServices(now, {{"s", 8, Span::millis(boot)}});
+        core.updatePlannerStatus(now, 1, true, 1);
         take();
     }
     void take() {
@@ -44,19 +49,19 @@
         while (auto o = core.next()) fresh.push_back(*o), all.emplace_back(now, *o);
     }
     void grants(std::vector<scaler::Grant> g, bool whole = false, uint64_t term = 1) {
-        core.granted(now, {term, whole, std::move(g)});
+        core.applyGrants(now, {term, whole, std::move(g)});
         take();
     }
     RequestId come(int ms = 5000, int priority = 2, bool repeatable = false, int attempts = 3) {
-        Arrival a{
+        IncomingRequest a{
             nextId++,        "s", repeatable, priority, attempts, now + Span::millis(ms), Span::millis(400),
             Span::millis(ms)};
-        core.arrived(now, a);
+        core.onRequest(now, a);
         take();
         return a.id;
     }
-    void end(RequestId id, Ending how) {
-        core.ended(now, id, how);
+    void end(RequestId id, AttemptOutcome how) {
+        core.onAttemptEnded(now, id, how);
         take();
     }
     // The host's round: ticks at each wake-up until `until`, or until the condition holds.
@@ -74,15 +79,15 @@
     void pass(int ms) {
         go(now + Span::millis(ms), [] { return false; });
     }
-    std::vector<SendTo> sends() const {
-        std::vector<SendTo> out;
+    std::vector<SendRequest> sends() const {
+        std::vector<SendRequest> out;
         for (auto& [at, o] : all)
-            if (auto* s = std::get_if<SendTo>(&o)) out.push_back(*s);
+            if (auto* s = std::get_if<SendRequest>(&o)) out.push_back(*s);
         return out;
     }
     bool sent(RequestId id) const {
         auto s = sends();
-        return std::any_of(s.begin(), s.end(), [&](const SendTo& x) { return x.id == id; });
+        return std::any_of(s.begin(), s.end(), [&](const SendRequest& x) { return x.id == id; });
     }
     template <class T>
     std::optional<std::pair<Instant, T>> got(RequestId id) const {
@@ -93,13 +98,13 @@
     std::string instanceOf(RequestId id) const {
         std::string name;
         for (auto& s : sends())
-            if (s.id == id && core.instance(s.at)) name = core.instance(s.at)->id;
+            if (s.id == id && core.findInstance(s.instance)) name = core.findInstance(s.instance)->id;
         return name;
     }
     std::vector<scaler::Report> reports() const {
         std::vector<scaler::Report> out;
         for (auto& [at, o] : all)
-            if (auto* t = std::get_if<Tell>(&o)) out.push_back(t->report);
+            if (auto* t = std::get_if<SendReport>(&o)) out.push_back(t->report);
         return out;
     }
     // What the holder was last told of an instance.
@@ -125,7 +130,8 @@
 };
 
 TEST(MayHaveRun, UnsureIsRun) {
-    for (Ending e : kEndings) EXPECT_EQ(mayHaveRun(e), trulyMayHaveRun(e)) << static_cast<int>(e);
+    for (AttemptOutcome e : kEndings)
+        EXPECT_EQ(mayHaveExecuted(e), trulyMayHaveRun(e)) << static_cast<int>(e);
 }
 
 TEST(Dispatch, OneSlotIsOneRequest) {
@@ -137,11 +143,11 @@
     std::multiset<std::string> used;
     for (auto id : {ids[0], ids[1], ids[2]}) used.insert(p.instanceOf(id));
     EXPECT_EQ(used, (std::multiset<std::string>{"a", "a", "b"}));
-    EXPECT_TRUE(p.core.waits(ids[3]));
-    EXPECT_TRUE(p.core.waits(ids[4]));
-    EXPECT_EQ(p.core.held(), 2u);
-    p.end(ids[0], Ending::passed);
-    EXPECT_TRUE(p.got<PassOn>(ids[0]));
+    EXPECT_TRUE(p.core.isQueued(ids[3]));
+    EXPECT_TRUE(p.core.isQueued(ids[4]));
+    EXPECT_EQ(p.core.queuedCount(), 2u);
+    p.end(ids[0], AttemptOutcome::answered);
+    EXPECT_TRUE(p.got<ForwardResponse>(ids[0]));
     EXPECT_TRUE(p.go(p.now + Span::seconds(1), [&] { return p.sent(ids[3]); }));
     p.pass(300);
     EXPECT_FALSE(p.sent(ids[4]));  // one slot came free, so one went
@@ -155,14 +161,14 @@
     g.fleetSlots = 8;
     p.grants({g});
     RequestId id = p.come(600);
-    EXPECT_TRUE(p.core.waits(id));
+    EXPECT_TRUE(p.core.isQueued(id));
     p.pass(50);
     p.grants({grant("b", 1)});
     EXPECT_TRUE(p.go(p.now + Span::millis(200), [&] { return p.sent(id); }));
     // Nobody has any: it can't be had in time and is told so at once.
     Play none;
     none.grants({});
-    EXPECT_TRUE(none.got<Refuse>(none.come(600)));
+    EXPECT_TRUE(none.got<RejectRequest>(none.come(600)));
 }
 
 TEST(Dispatch, ASlotAskedBackIsHeldUntilItsCallEnds) {
@@ -177,14 +183,14 @@
     EXPECT_EQ(p.held("a")->busy, 2u);
     auto waits = p.come();
     EXPECT_FALSE(p.sent(waits));
-    p.end(one, Ending::passed);
+    p.end(one, AttemptOutcome::answered);
     p.pass(150);
     EXPECT_EQ(p.held("a")->slots, 1u);
-    p.end(two, Ending::passed);
+    p.end(two, AttemptOutcome::answered);
     p.pass(150);
     EXPECT_EQ(p.held("a")->slots, 0u);
     EXPECT_FALSE(p.sent(waits));  // what was given back is not used again
-    EXPECT_EQ(p.count<Drop>(), 1);
+    EXPECT_EQ(p.count<ReleaseInstance>(), 1);
 }
 
 TEST(Dispatch, AFreeSlotAskedBackIsGivenBackAtOnce) {
@@ -199,13 +205,13 @@
     p.pass(150);
     ASSERT_TRUE(p.held("unknown"));
     EXPECT_EQ(p.held("unknown")->slots, 0u);
-    p.end(one, Ending::passed);
+    p.end(one, AttemptOutcome::answered);
 }
 
 TEST(Dispatch, GrantsOfALowerTermAreIgnored) {
     Play p;
     p.grants({grant("a", 1)});
-    p.core.standing(p.now, 3, true, 1);
+    p.core.updatePlannerStatus(p.now, 3, true, 1);
     p.take();
     p.grants({grant("a", 5), grant("b", 5)}, false, 2);
     p.grants({}, true, 2);
@@ -213,7 +219,7 @@
     EXPECT_TRUE(p.sent(one));
     EXPECT_EQ(p.instanceOf(one), "a");
     EXPECT_FALSE(p.sent(two));
-    p.core.standing(p.now, 2, false, 9);  // an old holder's standing as well
+    p.core.updatePlannerStatus(p.now, 2, false, 9);  // an old holder's standing as well
     p.pass(300);
     EXPECT_GT(p.reports().size(), 1u);
     EXPECT_EQ(p.reports().back().term, 3u);
@@ -227,7 +233,7 @@
     auto one = p.come(), two = p.come();
     EXPECT_TRUE(p.sent(one));
     EXPECT_FALSE(p.sent(two)) << "a slot of a holder that was overtaken";
-    p.core.standing(p.now, 2, true, 1);
+    p.core.updatePlannerStatus(p.now, 2, true, 1);
     p.take();
     ASSERT_FALSE(p.reports().empty());
     EXPECT_TRUE(p.reports().back().whole);
@@ -238,7 +244,7 @@
     Play p;
     p.grants({grant("a", 2), grant("b", 1)});
     p.come();
-    p.core.standing(p.now, 2, true, 1);
+    p.core.updatePlannerStatus(p.now, 2, true, 1);
     p.take();
     auto reports = p.reports();
     ASSERT_FALSE(reports.empty());
@@ -247,8 +253,8 @@
     std::set<std::string> named;
     for (auto& h : reports.back().held) named.insert(h.instance);
     EXPECT_EQ(named, (std::set<std::string>{"a", "b"}));
-    p.core.unlinked();
-    p.core.standing(p.now, 2, true, 1);  // the same term on a new link
+    p.core.onPlannerDisconnected();
+    p.core.updatePlannerStatus(p.now, 2, true, 1);  // the same term on a new link
     p.take();
     EXPECT_TRUE(p.reports().back().whole);
     EXPECT_EQ(p.reports().size(), reports.size() + 1);
@@ -274,7 +280,7 @@
     ASSERT_TRUE(p.sent(one));
     EXPECT_EQ(p.reports().size(), before);
     p.pass(50);
-    p.end(one, Ending::passed);
+    p.end(one, AttemptOutcome::answered);
     p.pass(1);
     ASSERT_EQ(p.reports().size(), before + 1);
     EXPECT_EQ(p.held("a")->slots, 1u);
@@ -298,7 +304,7 @@
 }
 
 void silence(Play& p, bool is) {
-    p.core.holderSilent(p.now, is);
+    p.core.setPlannerSilent(p.now, is);
     p.take();
 }
 
@@ -310,8 +316,8 @@
     p.pass(1);
     ASSERT_TRUE(p.sent(one));
     EXPECT_EQ(p.instanceOf(one), "a");  // of our zone
-    p.end(one, Ending::passed);
-    EXPECT_TRUE(p.got<PassOn>(one));
+    p.end(one, AttemptOutcome::answered);
+    EXPECT_TRUE(p.got<ForwardResponse>(one));
     EXPECT_EQ(p.core.counters().borrowed, 1u);
 }
 
@@ -325,7 +331,7 @@
     auto three = p.come();
     p.pass(200);
     EXPECT_FALSE(p.sent(three));
-    p.end(one, Ending::passed);
+    p.end(one, AttemptOutcome::answered);
     p.pass(1500);
     EXPECT_TRUE(p.sent(three));
 }
@@ -335,15 +341,15 @@
     silence(p, true);
     auto one = p.come(5000, 2, false, 1);
     ASSERT_TRUE(p.sent(one));
-    p.end(one, Ending::notRun);
-    ASSERT_TRUE(p.got<Refuse>(one));
-    EXPECT_EQ(p.got<Refuse>(one)->second.status, 503);
+    p.end(one, AttemptOutcome::notExecuted);
+    ASSERT_TRUE(p.got<RejectRequest>(one));
+    EXPECT_EQ(p.got<RejectRequest>(one)->second.status, 503);
     auto two = p.come();
     p.pass(90);
     EXPECT_FALSE(p.sent(two));
     p.pass(1500);
     EXPECT_TRUE(p.sent(two));
-    EXPECT_EQ(p.core.counters().borrowedFull, 1u);
+    EXPECT_EQ(p.core.counters().borrowedNotExecuted, 1u);
 }
 
 TEST(Borrowing, WhatEndedMissedOrIsLongAgoIsNotBorrowed) {
@@ -356,7 +362,7 @@
     p.pass(1);
     ASSERT_TRUE(p.sent(one));
     EXPECT_EQ(p.instanceOf(one), "b");
-    p.end(one, Ending::unconnected);
+    p.end(one, AttemptOutcome::connectFailed);
     p.pass(1000);
     EXPECT_EQ(p.core.counters().borrowed, 1u);
     Play later = withFormers();
@@ -380,12 +386,12 @@
 // After a loss requests for many services wait at each sender: its wants go together, not one by one.
 TEST(Dispatch, InACrowdWantsAreReportedTogether) {
     Dispatch core(kStart, {1, "here"});
-    core.standing(kStart, 1, true, 1);
+    core.updatePlannerStatus(kStart, 1, true, 1);
     Instant now = kStart;
     size_t reports = 0, wanted = 0;
     const auto pull = [&] {
         while (auto output = core.next())
-            if (auto* tell = std::get_if<Tell>(&*output)) {
+            if (auto* tell = std::get_if<SendReport>(&*output)) {
                 ++reports;
                 for (const auto& demand : tell->report.demands) wanted += demand.waiting > 0;
             }
@@ -393,15 +399,15 @@
     pull();
     reports = 0;
     for (uint64_t id = 1; id <= 100; ++id) {  // one a millisecond, each for a service of its own
-        Arrival a{id,
-                  "s" + std::to_string(id),
-                  true,
-                  2,
-                  1,
-                  now + Span::seconds(4),
-                  Span::millis(400),
-                  Span::seconds(4)};
-        core.arrived(now, a);
+        IncomingRequest a{id,
+                          "s" + std::to_string(id),
+                          true,
+                          2,
+                          1,
+                          now + Span::seconds(4),
+                          Span::millis(400),
+                          Span::seconds(4)};
+        core.onRequest(now, a);
         if (core.wakeAt() <= now) core.tick(now);
         pull();
         now = now + Span::millis(1);
@@ -448,7 +454,7 @@
 TEST(Dispatch, WithoutAWordOfTheHolderNothingIsTakenForABoot) {
     Play p;
     auto id = p.come(900);
-    EXPECT_FALSE(p.got<Refuse>(id));
+    EXPECT_FALSE(p.got<RejectRequest>(id));
     p.grants({grant("a", 1)});
     EXPECT_TRUE(p.sent(id));
 }
@@ -457,14 +463,14 @@
     Play p;
     p.grants({});           // the holder has spoken: there is nothing for us
     auto id = p.come(600);  // a start alone takes a second
-    auto refused = p.got<Refuse>(id);
+    auto refused = p.got<RejectRequest>(id);
     ASSERT_TRUE(refused);
     EXPECT_EQ(refused->first, kStart);
     EXPECT_EQ(refused->second.status, 503);
-    EXPECT_GT(refused->second.comeBack, Span());
-    EXPECT_LE(refused->second.comeBack, Span::millis(198));  // clients honour a third of their time
-    EXPECT_EQ(p.core.held(), 0u);
-    EXPECT_EQ(p.core.counters().refusedAtOnce, 1u);
+    EXPECT_GT(refused->second.retryAfter, Span());
+    EXPECT_LE(refused->second.retryAfter, Span::millis(198));  // clients honour a third of their time
+    EXPECT_EQ(p.core.queuedCount(), 0u);
+    EXPECT_EQ(p.core.counters().rejectedImmediately, 1u);
 }
 
 TEST(Dispatch, NothingIsHeldBeyondItsShareOfTheTime) {
@@ -473,15 +479,15 @@
         p.grants({grant("a", 1)});
         p.come(20000);
         auto id = p.come(ms);
-        ASSERT_TRUE(p.core.waits(id)) << ms;
+        ASSERT_TRUE(p.core.isQueued(id)) << ms;
         p.pass(ms);
-        auto refused = p.got<Refuse>(id);
+        auto refused = p.got<RejectRequest>(id);
         ASSERT_TRUE(refused) << ms;
         Span held = refused->first - kStart;
         EXPECT_GE(held, Span::millis(ms) * 0.45 - Span::millis(1));
         EXPECT_LE(held, Span::millis(ms) * 0.45 + Span::millis(51));  // looked at twenty times a second
-        EXPECT_EQ(p.core.counters().refusedHeld, 1u);
-        EXPECT_LE(refused->second.comeBack,
+        EXPECT_EQ(p.core.counters().rejectedAfterQueueing, 1u);
+        EXPECT_LE(refused->second.retryAfter,
                   std::max((Span::millis(ms) - held) * 0.33 + Span::millis(1), Span::millis(50)));
     }
 }
@@ -496,7 +502,7 @@
     for (int i = 0; i < 4; ++i) {
         p.now = p.now + Span::millis(20);
         auto before = p.sends().size();
-        p.end(running, Ending::passed);
+        p.end(running, AttemptOutcome::answered);
         ASSERT_TRUE(p.go(p.now + Span::seconds(1), [&] { return p.sends().size() > before; }));
         order.push_back(running = p.sends().back().id);
     }
@@ -507,14 +513,14 @@
     Play p;
     p.grants({grant("a", 1)});
     auto one = p.come(), two = p.come(), three = p.come();
-    p.core.withdrawn(p.now, two);
-    p.end(one, Ending::passed);
+    p.core.cancelRequest(p.now, two);
+    p.end(one, AttemptOutcome::answered);
     EXPECT_TRUE(p.go(p.now + Span::seconds(1), [&] { return p.sent(three); }));
     p.pass(6000);
     EXPECT_FALSE(p.sent(two));
-    EXPECT_FALSE(p.got<Refuse>(two));
-    EXPECT_FALSE(p.got<GiveUp>(two));
-    EXPECT_EQ(p.core.held(), 0u);
+    EXPECT_FALSE(p.got<RejectRequest>(two));
+    EXPECT_FALSE(p.got<FailRequest>(two));
+    EXPECT_EQ(p.core.queuedCount(), 0u);
 }
 
 TEST(Dispatch, TheBucketBindsWhenARequestIsHeld) {
@@ -535,14 +541,14 @@
     EXPECT_TRUE(p.go(p.now + Span::seconds(3), [&] { return p.sends().size() == 11; }));
     std::vector<Instant> starts;
     for (auto& [at, o] : p.all)
-        if (std::holds_alternative<SendTo>(o) && at >= from) starts.push_back(at);
+        if (std::holds_alternative<SendRequest>(o) && at >= from) starts.push_back(at);
     ASSERT_EQ(starts.size(), 10u);
     for (size_t i = 1; i < starts.size(); ++i) EXPECT_GT(starts[i], starts[i - 1]);
     EXPECT_GT(starts.back() - starts.front(), Span::millis(60));  // 11 slots / 0.1 s of a call at most
 
     // Ten seconds without a hold end it.
-    for (auto id : rest) p.end(id, Ending::passed);
-    p.end(1, Ending::passed);
+    for (auto id : rest) p.end(id, AttemptOutcome::answered);
+    p.end(1, AttemptOutcome::answered);
     p.pass(10500);
     auto before = p.sends().size();
     for (int i = 0; i < 8; ++i) p.come(20000);
@@ -568,20 +574,20 @@
     p.grants({grant("a", 1), grant("b", 1)});
     auto id = p.come();
     std::string first = p.instanceOf(id);
-    p.end(id, Ending::notRun);
+    p.end(id, AttemptOutcome::notExecuted);
     EXPECT_TRUE(p.go(p.now + Span::seconds(1), [&] { return p.sends().size() == 2; }));
     EXPECT_NE(p.instanceOf(id), first);
-    EXPECT_EQ(p.core.counters().full, 1u);
-    p.end(id, Ending::passed);
-    EXPECT_TRUE(p.got<PassOn>(id));
+    EXPECT_EQ(p.core.counters().notExecuted, 1u);
+    p.end(id, AttemptOutcome::answered);
+    EXPECT_TRUE(p.got<ForwardResponse>(id));
 }
 
 TEST(Dispatch, ABootingInstanceIsProbedAndUsedOnceUp) {
     Play p;
     p.grants({grant("a", 1, 1000)});
     auto id = p.come(6000);
-    EXPECT_TRUE(p.core.waits(id));
-    auto probes = [&] { return p.count<Probe>(); };
+    EXPECT_TRUE(p.core.isQueued(id));
+    auto probes = [&] { return p.count<ProbeInstance>(); };
     EXPECT_EQ(probes(), 0);
     EXPECT_TRUE(p.go(p.now + Span::seconds(2), [&] { return probes() == 1; }));
     EXPECT_GE(p.now, kStart + Span::millis(500));
@@ -589,10 +595,10 @@
     p.pass(100);
     EXPECT_EQ(probes(), 1);  // one at a time
     EXPECT_FALSE(p.sent(id));
-    p.core.probed(p.now, 0, false);
+    p.core.onProbeResult(p.now, 0, false);
     p.take();
     EXPECT_TRUE(p.go(p.now + Span::millis(200), [&] { return probes() == 2; }));
-    p.core.probed(p.now, 0, true);
+    p.core.onProbeResult(p.now, 0, true);
     p.take();
     EXPECT_TRUE(p.go(p.now + Span::millis(300), [&] { return p.sent(id); }));
     p.pass(300);
@@ -607,9 +613,9 @@
         p.come(4000);
         Instant until = p.now + Span::millis(1700);
         while (p.now < until) {
-            int before = p.count<Probe>();
-            p.go(until, [&] { return p.count<Probe>() > before; });
-            p.core.probed(p.now, 0, false);
+            int before = p.count<ProbeInstance>();
+            p.go(until, [&] { return p.count<ProbeInstance>() > before; });
+            p.core.onProbeResult(p.now, 0, false);
             p.take();
         }
     }
@@ -620,19 +626,20 @@
     Play p;
     p.grants({grant("a", 1)});
     auto id = p.come(5000);
-    p.end(id, Ending::unconnected);
+    p.end(id, AttemptOutcome::connectFailed);
     p.pass(150);
     EXPECT_EQ(p.told("a", &scaler::Report::dead), 0);
     EXPECT_TRUE(p.go(p.now + Span::seconds(1), [&] { return p.sends().size() == 2; }));
-    p.end(id, Ending::unconnected);
+    p.end(id, AttemptOutcome::connectFailed);
     p.pass(250);
     EXPECT_EQ(p.told("a", &scaler::Report::dead), 1);
 
     Play q;  // an answer between the two
     q.grants({grant("a", 1)});
-    for (Ending e : {Ending::unconnected, Ending::passed, Ending::unconnected}) {
+    for (AttemptOutcome e :
+         {AttemptOutcome::connectFailed, AttemptOutcome::answered, AttemptOutcome::connectFailed}) {
         auto before = q.sends().size();
-        if (q.core.held() == 0) q.come(5000);
+        if (q.core.queuedCount() == 0) q.come(5000);
         ASSERT_TRUE(q.go(q.now + Span::seconds(2), [&] { return q.sends().size() > before; }));
         q.end(q.sends().back().id, e);
     }
@@ -649,14 +656,14 @@
     p.pass(1000);
     auto before = p.reports().size();
     auto two = p.come();  // a want
-    ASSERT_TRUE(p.core.waits(two));
+    ASSERT_TRUE(p.core.isQueued(two));
     p.pass(20);
     ASSERT_GT(p.reports().size(), before);
     ASSERT_EQ(p.reports().back().demands.size(), 1u);
     EXPECT_EQ(p.reports().back().demands[0].waiting, 1u);
     p.grants({grant("a", 0)});
     p.pass(1000);
-    p.end(one, Ending::passed);  // a slot that was asked back
+    p.end(one, AttemptOutcome::answered);  // a slot that was asked back
     p.pass(20);
     EXPECT_EQ(p.held("a")->slots, 0u);
 
@@ -664,10 +671,10 @@
     q.grants({grant("a", 1)});
     q.pass(1000);
     auto three = q.come();
-    q.end(three, Ending::unconnected);
+    q.end(three, AttemptOutcome::connectFailed);
     ASSERT_TRUE(q.go(q.now + Span::seconds(1), [&] { return q.sends().size() == 2; }));
     q.pass(200);
-    q.end(three, Ending::unconnected);
+    q.end(three, AttemptOutcome::connectFailed);
     q.pass(20);
     EXPECT_EQ(q.told("a", &scaler::Report::dead), 1);
 }
@@ -678,15 +685,15 @@
     p.grants({grant("a", 1)});
     auto id = p.come(8000);
     for (size_t n = 2; n <= 3; ++n) {
-        p.end(id, Ending::unconnected);
+        p.end(id, AttemptOutcome::connectFailed);
         ASSERT_TRUE(p.go(p.now + Span::seconds(2), [&] { return p.sends().size() == n; }));
     }
     ASSERT_EQ(p.told("a", &scaler::Report::dead), 1);
-    p.core.standing(p.now, 2, true, 1);
+    p.core.updatePlannerStatus(p.now, 2, true, 1);
     p.take();
     EXPECT_EQ(p.told("a", &scaler::Report::dead), 2);
     // And again at a further miss: the holder believes one sender at its second word.
-    p.end(id, Ending::unconnected);
+    p.end(id, AttemptOutcome::connectFailed);
     p.pass(1500);
     EXPECT_EQ(p.told("a", &scaler::Report::dead), 3);
 }
@@ -696,36 +703,36 @@
     p.grants({grant("a", 4), grant("b", 4)});
     for (int i = 0; i < 12; ++i) {
         auto id = p.come(5000, 2, true);
-        EXPECT_EQ(p.sends().back().patience > Span(), i >= 8) << i;
+        EXPECT_EQ(p.sends().back().attemptTimeout > Span(), i >= 8) << i;
         p.now = p.now + Span::millis(20);
-        p.end(id, Ending::passed);
+        p.end(id, AttemptOutcome::answered);
     }
     p.come(5000, 2, false);
-    EXPECT_EQ(p.sends().back().patience, Span());  // what may run only once is waited for
+    EXPECT_EQ(p.sends().back().attemptTimeout, Span());  // what may run only once is waited for
     p.come(5000, 2, true, 1);
-    EXPECT_EQ(p.sends().back().patience, Span());  // and so is what has no other attempt
+    EXPECT_EQ(p.sends().back().attemptTimeout, Span());  // and so is what has no other attempt
 }
 
 TEST(Dispatch, ACallIsNotGivenUpWhereTheBudgetHasNoOtherSend) {
     Dispatch::Options options{1, "here"};
-    options.budgetSlack = 2, options.budgetRatio = 0;  // one further send
+    options.retryBudgetSlack = 2, options.retryBudgetRatio = 0;  // one further send
     Play p(options);
     p.grants({grant("a", 4), grant("b", 4)});
-    for (int i = 0; i < 8; ++i) p.end(p.come(5000, 2, true), Ending::passed);
+    for (int i = 0; i < 8; ++i) p.end(p.come(5000, 2, true), AttemptOutcome::answered);
     auto first = p.come(5000, 2, true), second = p.come(5000, 2, true);
-    EXPECT_GT(p.sends().back().patience, Span());
+    EXPECT_GT(p.sends().back().attemptTimeout, Span());
     p.pass(200);
-    EXPECT_TRUE(p.core.mayGiveUp(p.now, first));
-    p.end(first, Ending::silent);
-    EXPECT_FALSE(p.core.mayGiveUp(p.now, second));
-    EXPECT_EQ(p.count<GiveUp>(), 0);
+    EXPECT_TRUE(p.core.mayAbandonAttempt(p.now, first));
+    p.end(first, AttemptOutcome::timedOut);
+    EXPECT_FALSE(p.core.mayAbandonAttempt(p.now, second));
+    EXPECT_EQ(p.count<FailRequest>(), 0);
 }
 
 TEST(Dispatch, LeavingIsToldWithAllThatIsHeld) {
     Play p;
     p.grants({grant("a", 2)});
     p.come();
-    p.core.leaving(p.now);
+    p.core.startDraining(p.now);
     p.take();
     auto last = p.reports().back();
     EXPECT_TRUE(last.leaving);
@@ -737,19 +744,19 @@
 // --- the retry budget ----------------------------------------------------------------------------
 
 TEST(RetryBudget, AllowsHalfOfItsShareAndTheSlack) {
-    Budget b;
+    RetryBudget b;
     Span window = Span::seconds(10);
     for (int i = 0; i < 2; ++i) {
-        EXPECT_TRUE(b.allows(kStart, window, 0.2, 2));
-        b.further(kStart, window);
+        EXPECT_TRUE(b.allowsRetry(kStart, window, 0.2, 2));
+        b.recordRetry(kStart, window);
     }
-    EXPECT_FALSE(b.allows(kStart, window, 0.2, 2));
-    for (int i = 0; i < 10; ++i) b.request(kStart, window);
-    EXPECT_TRUE(b.allows(kStart, window, 0.2, 2));
-    b.further(kStart, window);
-    EXPECT_FALSE(b.allows(kStart, window, 0.2, 2));
-    EXPECT_FALSE(b.allows(kStart + Span::seconds(9), window, 0.2, 2));
-    EXPECT_TRUE(b.allows(kStart + Span::seconds(12), window, 0.2, 2));  // all of it is out of the window
+    EXPECT_FALSE(b.allowsRetry(kStart, window, 0.2, 2));
+    for (int i = 0; i < 10; ++i) b.recordRequest(kStart, window);
+    EXPECT_TRUE(b.allowsRetry(kStart, window, 0.2, 2));
+    b.recordRetry(kStart, window);
+    EXPECT_FALSE(b.allowsRetry(kStart, window, 0.2, 2));
+    EXPECT_FALSE(b.allowsRetry(kStart + Span::seconds(9), window, 0.2, 2));
+    EXPECT_TRUE(b.allowsRetry(kStart + Span::seconds(12), window, 0.2, 2));  // all of it is out of the window
 }
 
 // In every window: at most the share of the requests of this window or the one before, and the slack.
@@ -758,7 +765,7 @@
     const double ratio = 0.2, slack = 5;
     for (uint32_t seed = 0; seed < 40; ++seed) {
         std::mt19937 chance(seed);
-        Budget b;
+        RetryBudget b;
         std::vector<Instant> requests, further;
         Instant now = kStart + Span::micros(chance() % 10'000'000);
         double rate = 1;
@@ -766,9 +773,9 @@
             if (i % 150 == 0) rate = std::pow(10.0, static_cast<double>(chance() % 4));  // lulls and bursts
             now = now + Span::micros(static_cast<int64_t>(chance() % 2'000'000 / rate));
             if (chance() % 2)
-                b.request(now, window), requests.push_back(now);
-            else if (b.allows(now, window, ratio, slack))
-                b.further(now, window), further.push_back(now);
+                b.recordRequest(now, window), requests.push_back(now);
+            else if (b.allowsRetry(now, window, ratio, slack))
+                b.recordRetry(now, window), further.push_back(now);
         }
         auto count = [](const std::vector<Instant>& of, Instant from, Instant to) {  // (from, to]
             return std::upper_bound(of.begin(), of.end(), to) - std::upper_bound(of.begin(), of.end(), from);
@@ -784,17 +791,17 @@
 
 TEST(Dispatch, FurtherSendsKeepToTheBudget) {
     Dispatch::Options options{1, "here"};
-    options.budgetSlack = 8;  // half of it is this sender's, as it is alone
+    options.retryBudgetSlack = 8;  // half of it is this sender's, as it is alone
     Play p(options);
     p.grants({grant("a", 50), grant("b", 50)});
     int gaveUp = 0;
     for (int i = 0; i < 20; ++i) {
         auto id = p.come(5000, 2, true, 2);
-        p.end(id, Ending::broken);
-        if (p.got<GiveUp>(id))
+        p.end(id, AttemptOutcome::connectionBroken);
+        if (p.got<FailRequest>(id))
             ++gaveUp;
         else
-            p.end(id, Ending::passed);
+            p.end(id, AttemptOutcome::answered);
     }
     EXPECT_LE(p.sends().size(), 20u + 4u + 2u);
     EXPECT_GE(p.sends().size(), 20u + 4u);
@@ -803,14 +810,14 @@
 
 TEST(Dispatch, FurtherSendsThatWaitForASlotCountAlready) {
     Dispatch::Options options{1, "here"};
-    options.budgetSlack = 2;  // one of it is this sender's
+    options.retryBudgetSlack = 2;  // one of it is this sender's
     Play p(options);
     p.grants({grant("a", 8)});
     std::vector<RequestId> all;
     for (int i = 0; i < 8; ++i) all.push_back(p.come(5000, 2, true, 2));
     p.grants({grant("a", 0)});
-    for (auto id : all) p.end(id, Ending::broken);
-    EXPECT_EQ(p.count<GiveUp>(), 7);
+    for (auto id : all) p.end(id, AttemptOutcome::connectionBroken);
+    EXPECT_EQ(p.count<FailRequest>(), 7);
     p.grants({grant("b", 8)});
     p.pass(1000);
     EXPECT_EQ(p.sends().size(), 9u);
@@ -818,15 +825,15 @@
 
 TEST(Dispatch, AWithdrawnFurtherSendIsGivenBack) {
     Dispatch::Options options{1, "here"};
-    options.budgetSlack = 2;
+    options.retryBudgetSlack = 2;
     Play p(options);
     for (int i = 0; i < 3; ++i) {
         p.grants({grant("a", 1)});
         auto id = p.come(5000, 2, true, 2);
         p.grants({grant("a", 0)});
-        p.end(id, Ending::broken);
-        EXPECT_FALSE(p.got<GiveUp>(id)) << i;
-        p.core.withdrawn(p.now, id);
+        p.end(id, AttemptOutcome::connectionBroken);
+        EXPECT_FALSE(p.got<FailRequest>(id)) << i;
+        p.core.cancelRequest(p.now, id);
     }
 }
 
@@ -838,18 +845,19 @@
         Instant born = kStart;
         for (int life = 0; life < 8; ++life, born = born + Span::millis(4100 + 13 * sender)) {
             Dispatch::Options options{sender, "here"};
-            options.budgetSlack = 52, options.budgetRatio = 0, options.forgot = true;
+            options.retryBudgetSlack = 52, options.retryBudgetRatio = 0, options.mayHaveRestarted = true;
             Play p(options);  // told of one sender, as an agent that knows nobody yet does
             p.grants({grant("a", 50), grant("b", 50)});
-            p.core.standing(p.now, 1, true, senders);
-            p.core.standing(p.now, 1, true, 1);  // and once more: its agent alone was started again
+            p.core.updatePlannerStatus(p.now, 1, true, senders);
+            p.core.updatePlannerStatus(p.now, 1, true,
+                                       1);  // and once more: its agent alone was started again
             for (int i = 0; i < 400; ++i) {
                 p.pass(10);
                 auto id = p.come(5000, 2, true, 2);
-                p.end(id, Ending::broken);
-                if (!p.sent(id) || p.got<GiveUp>(id)) continue;
+                p.end(id, AttemptOutcome::connectionBroken);
+                if (!p.sent(id) || p.got<FailRequest>(id)) continue;
                 further.push_back(born + (p.now - kStart));
-                p.end(id, Ending::passed);
+                p.end(id, AttemptOutcome::answered);
             }
         }
     }
@@ -864,11 +872,11 @@
 // --- once-only requests: all sequences of endings ------------------------------------------------
 
 TEST(OnceOnly, NeverSentAfterAnythingThatMayHaveRun) {
-    std::vector<std::vector<Ending>> sequences{{}};
+    std::vector<std::vector<AttemptOutcome>> sequences{{}};
     for (size_t from = 0, length = 0; length < 3; ++length) {
         size_t to = sequences.size();
         for (; from < to; ++from)
-            for (Ending e : kEndings) {
+            for (AttemptOutcome e : kEndings) {
                 auto longer = sequences[from];
                 longer.push_back(e);
                 sequences.push_back(longer);
@@ -877,13 +885,13 @@
     ASSERT_EQ(sequences.size(), 1u + 8 + 64 + 512);
     for (const auto& sequence : sequences) {
         std::string text;
-        for (Ending e : sequence) text += std::to_string(static_cast<int>(e)) + " ";
+        for (AttemptOutcome e : sequence) text += std::to_string(static_cast<int>(e)) + " ";
         Play p;
         p.grants({grant("a", 1), grant("b", 1), grant("c", 1), grant("d", 1)});
         auto id = p.come(20000, 2, false, 9);
         bool ran = false;
         size_t sent = 0;
-        for (Ending e : sequence) {
+        for (AttemptOutcome e : sequence) {
             if (!p.go(p.now + Span::seconds(8), [&] { return p.sends().size() > sent; })) break;
             ASSERT_FALSE(ran) << text;
             sent = p.sends().size();
@@ -894,8 +902,8 @@
         }
         p.pass(21000);
         ASSERT_FALSE(ran && p.sends().size() > sent) << text;
-        ASSERT_FALSE(ran && p.got<Refuse>(id)) << text;
-        ASSERT_TRUE(!ran || p.got<PassOn>(id) || p.got<GiveUp>(id)) << text;
+        ASSERT_FALSE(ran && p.got<RejectRequest>(id)) << text;
+        ASSERT_TRUE(!ran || p.got<ForwardResponse>(id) || p.got<FailRequest>(id)) << text;
     }
 }
 
@@ -903,15 +911,17 @@
 
 // Cores that are broken on purpose, to show that the checker sees it.
 struct Sound {
-    static Ending told(Ending e) { return e; }
+    static AttemptOutcome told(AttemptOutcome e) { return e; }
     static bool loses() { return false; }
 };
 struct BlindToBreaks {  // takes a broken connection for an endpoint that said it was full
-    static Ending told(Ending e) { return e == Ending::broken ? Ending::notRun : e; }
+    static AttemptOutcome told(AttemptOutcome e) {
+        return e == AttemptOutcome::connectionBroken ? AttemptOutcome::notExecuted : e;
+    }
     static bool loses() { return false; }
 };
 struct Forgetful {  // drops refusals on the floor
-    static Ending told(Ending e) { return e; }
+    static AttemptOutcome told(AttemptOutcome e) { return e; }
     static bool loses() { return true; }
 };
 
@@ -933,47 +943,47 @@
     std::mt19937 chance(seed);
     auto below = [&](uint32_t n) { return static_cast<uint32_t>(chance() % n); };
     struct Known {
-        Arrival is;
+        IncomingRequest is;
         Instant cameAt, waitsSince;
         bool mayHaveRun = false, out = false, final = false, withdrawn = false, everSent = false;
         int arrivedEndings = 0;
         std::string at;
     };
     struct Event {
-        RequestId id = 0;      // an ending, or
-        InstanceIx probe = 0;  // a probe's outcome
+        RequestId id = 0;         // an ending, or
+        InstanceIndex probe = 0;  // a probe's outcome
         std::string probed;
-        Ending how = Ending::passed;
+        AttemptOutcome how = AttemptOutcome::answered;
         bool up = false;
     };
     std::map<RequestId, Known> known;
     std::map<std::string, uint32_t> slots, busy;  // as granted; as sent and not ended
     std::multimap<Instant, Event> events;
-    std::map<InstanceIx, std::string> nameOf;
+    std::map<InstanceIndex, std::string> nameOf;
     Instant now = kStart + Span::micros(below(1'000'000));
     Dispatch::Options options{seed, "here"};
-    options.budgetSlack = 1 + below(60);
+    options.retryBudgetSlack = 1 + below(60);
     Dispatch core(now, options);
     uint64_t term = 1;
     bool silent = false;  // the holder
     RequestId nextId = 1;
     const uint32_t trouble = below(4);  // of four: how often a call ends badly
-    core.configured(now, {{"s", 4, Span::millis(300 + below(1500))}, {"t", 2, Span::millis(500)}});
-    core.standing(now, term, true, 1 + below(4));
+    core.updateServices(now, {{"s", 4, Span::millis(300 + below(1500))}, {"t", 2, Span::millis(500)}});
+    core.updatePlannerStatus(now, term, true, 1 + below(4));
 
     auto drain = [&] {
         while (auto output = core.next()) {
-            if (auto* s = std::get_if<SendTo>(&*output)) {
+            if (auto* s = std::get_if<SendRequest>(&*output)) {
                 ++f.sends;
                 auto found = known.find(s->id);
-                const InstanceView* view = core.instance(s->at);
+                const InstanceInfo* view = core.findInstance(s->instance);
                 if (found == known.end() || !view) {
                     ++f.unknown;
                     continue;
                 }
                 Known& k = found->second;
                 if (k.final || k.out || k.withdrawn) ++f.repeated;
-                if (k.mayHaveRun && !k.is.repeatable) ++f.doubles;
+                if (k.mayHaveRun && !k.is.isIdempotent) ++f.doubles;
                 if (k.arrivedEndings + 1 > k.is.maxAttempts) ++f.overAttempts;
                 if (now > k.is.deadline) ++f.late;
                 f.further += k.everSent;
@@ -985,25 +995,27 @@
                 e.id = s->id;
                 Instant when = now + Span::micros(500 + below(1u << (8 + below(13))));
                 bool bad = below(4) < trouble;
-                e.how = bad ? kEndings[below(8)] : Ending::passed;
-                Instant most = s->patience > Span() ? now + s->patience : k.is.deadline + Span::millis(30);
-                if (when >= most) e.how = Ending::silent;
-                if (e.how == Ending::silent) when = std::max(most, now);
+                e.how = bad ? kEndings[below(8)] : AttemptOutcome::answered;
+                Instant most =
+                    s->attemptTimeout > Span() ? now + s->attemptTimeout : k.is.deadline + Span::millis(30);
+                if (when >= most) e.how = AttemptOutcome::timedOut;
+                if (e.how == AttemptOutcome::timedOut) when = std::max(most, now);
                 events.emplace(when, e);
-            } else if (auto* p = std::get_if<Probe>(&*output)) {
-                const InstanceView* view = core.instance(p->at);
+            } else if (auto* p = std::get_if<ProbeInstance>(&*output)) {
+                const InstanceInfo* view = core.findInstance(p->instance);
                 Event e;
-                e.probe = p->at, e.probed = view ? view->id : "", e.up = below(2) == 0;
+                e.probe = p->instance, e.probed = view ? view->id : "", e.up = below(2) == 0;
                 events.emplace(now + Span::micros(below(100'000)), e);
-            } else if (!std::holds_alternative<Drop>(*output) && !std::holds_alternative<Tell>(*output)) {
+            } else if (!std::holds_alternative<ReleaseInstance>(*output) &&
+                       !std::holds_alternative<SendReport>(*output)) {
                 RequestId id = 0;
                 bool refusal = false;
-                if (auto* r = std::get_if<Refuse>(&*output))
+                if (auto* r = std::get_if<RejectRequest>(&*output))
                     id = r->id, refusal = true;
-                else if (auto* g = std::get_if<GiveUp>(&*output))
+                else if (auto* g = std::get_if<FailRequest>(&*output))
                     id = g->id, ++f.gaveUp;
                 else
-                    id = std::get<PassOn>(*output).id, ++f.passed;
+                    id = std::get<ForwardResponse>(*output).id, ++f.passed;
                 if (refusal && Kind::loses()) continue;
                 f.refusals += refusal;
                 auto found = known.find(id);
@@ -1035,9 +1047,9 @@
                 if (trulyMayHaveRun(e.how)) k.mayHaveRun = true;
                 if (reachedAnEndpoint(e.how)) ++k.arrivedEndings;
                 --busy[k.at];
-                core.ended(now, e.id, Kind::told(e.how));
-            } else if (const InstanceView* v = core.instance(e.probe); v && v->id == e.probed) {
-                core.probed(now, e.probe, e.up);
+                core.onAttemptEnded(now, e.id, Kind::told(e.how));
+            } else if (const InstanceInfo* v = core.findInstance(e.probe); v && v->id == e.probed) {
+                core.onProbeResult(now, e.probe, e.up);
             }
             drain();
         }
@@ -1062,40 +1074,40 @@
                             for (auto& [name, n] : slots) n = 0;
                         for (auto& x : g.grants) slots[x.instance] = x.slots;
                     }
-                    core.granted(now, g);
+                    core.applyGrants(now, g);
                     break;
                 }
                 case 2:
                     if (below(3) == 0) term += 2;
-                    core.standing(now, term, below(5) != 0, 1 + below(4));
+                    core.updatePlannerStatus(now, term, below(5) != 0, 1 + below(4));
                     break;
                 case 3: {
                     RequestId id = 1 + below(static_cast<uint32_t>(nextId));
                     auto found = known.find(id);
-                    if (found != known.end() && !found->second.final && core.waits(id)) {
-                        core.withdrawn(now, id);
+                    if (found != known.end() && !found->second.final && core.isQueued(id)) {
+                        core.cancelRequest(now, id);
                         found->second.withdrawn = true;
                     }
                     break;
                 }
                 case 4:
-                    if (below(4) == 0) core.unlinked();
-                    if (below(3) == 0) silent = !silent, core.holderSilent(now, silent);
+                    if (below(4) == 0) core.onPlannerDisconnected();
+                    if (below(3) == 0) silent = !silent, core.setPlannerSilent(now, silent);
                     break;
                 default: {
                     static constexpr int kTimes[] = {150, 400, 1000, 3000, 6000};
                     Span left = Span::millis(kTimes[below(5)]);
-                    Arrival a{nextId++,
-                              below(4) ? "s" : "t",
-                              below(2) == 0,
-                              static_cast<int>(below(3)),
-                              1 + static_cast<int>(below(3)),
-                              now + left,
-                              Span::millis(400),
-                              left};
+                    IncomingRequest a{nextId++,
+                                      below(4) ? "s" : "t",
+                                      below(2) == 0,
+                                      static_cast<int>(below(3)),
+                                      1 + static_cast<int>(below(3)),
+                                      now + left,
+                                      Span::millis(400),
+                                      left};
                     Known& k = known[a.id];
                     k.is = a, k.cameAt = k.waitsSince = now;
-                    core.arrived(now, a);
+                    core.onRequest(now, a);
                 }
             }
             drain();
--- a/system/proxy/main.cpp
+++ b/system/proxy/main.cpp
@@ -15,12 +15,12 @@
     network::Loop loop;
     proxy::Proxy proxy(loop, start->settings, start->chance, start->loopback);
     std::string error;
-    if (!proxy.open(error)) {
+    if (!proxy.start(error)) {
         std::fprintf(stderr, "petrel-proxy: listen: %s\n", error.c_str());
         return 1;
     }
-    loop.onSignal(SIGTERM, [&] { proxy.leave(); });
-    loop.onSignal(SIGINT, [&] { proxy.leave(); });
+    loop.onSignal(SIGTERM, [&] { proxy.startDraining(); });
+    loop.onSignal(SIGINT, [&] { proxy.startDraining(); });
     loop.onSignal(SIGHUP, [] {});  // nothing of the settings that changes concerns the proxy
     loop.onSignal(SIGUSR1, [&] { proxy.logCounters(); });
     loop.run();
--- a/system/proxy/proxy.cpp
+++ b/system/proxy/proxy.cpp
@@ -17,15 +17,15 @@
 
 namespace {
 
-const Span kConnect = Span::millis(700);   // for a connection to an instance to come up
-const Span kSilence = Span::millis(2500);  // unacknowledged for so long: the machine is gone
-constexpr size_t kMostAnswer = 16u << 20;
-const Span kIdleMost = Span::seconds(8);     // a kept connection that nobody uses
-const Span kLastCalls = Span::millis(1600);  // before the kill: no request is taken on any more
-const Span kLastHeld = Span::millis(1300);   // before the kill: none waits any more
-const Span kIdleOnce = Span::millis(900);    // one that a once-only request may still trust
-
-bool hopByHop(std::string_view name) {
+const Span kConnectTimeout = Span::millis(700);          // for a connection to an instance to come up
+const Span kUnacknowledgedTimeout = Span::millis(2500);  // unacknowledged for so long: the machine is gone
+constexpr size_t kMaxResponseBodyBytes = 16u << 20;
+const Span kMaxIdle = Span::seconds(8);                   // a kept connection that nobody uses
+const Span kRejectNewBeforeKill = Span::millis(1600);     // before the kill: no request is taken on any more
+const Span kRejectQueuedBeforeKill = Span::millis(1300);  // before the kill: none waits any more
+const Span kMaxIdleNonIdempotent = Span::millis(900);     // one that a once-only request may still trust
+
+bool isHopByHop(std::string_view name) {
     for (const char* each :
          {"Connection", "Keep-Alive", "Proxy-Connection", "TE", "Trailer", "Transfer-Encoding", "Upgrade",
           "Content-Length", "Expect", "Proxy-Authorization", "Proxy-Authenticate"})
@@ -35,22 +35,22 @@
 
 // What the way itself needs is not to be struck out by naming it in Connection: without its id a request does
 // not run, and without the seal a success is none.
-bool endToEnd(std::string_view name) {
+bool isEndToEnd(std::string_view name) {
     return http::sameName(name, "Host") || http::sameName(name, "X-Attempt-Id") ||
            http::sameName(name, "X-Endpoint-Seal");
 }
 
-void copyFields(std::string& out, const http::Head& head, std::initializer_list<std::string_view> but) {
+void appendFields(std::string& out, const http::Head& head, std::initializer_list<std::string_view> but) {
     bool lists = head.field("Connection").has_value();
     for (const auto& [name, value] : head.fields) {
-        if (hopByHop(name) || (lists && !endToEnd(name) && head.names(name))) continue;
+        if (isHopByHop(name) || (lists && !isEndToEnd(name) && head.names(name))) continue;
         if (std::any_of(but.begin(), but.end(), [n = name](auto b) { return http::sameName(n, b); }))
             continue;
         out.append(name).append(": ").append(value).append("\r\n");
     }
 }
 
-std::string retryAfter(Span wait) {
+std::string retryAfterField(Span wait) {
     char text[48];
     std::snprintf(text, sizeof text, "Retry-After: %.3f\r\n", std::max(0.001, wait.inSeconds()));
     return text;
@@ -60,32 +60,32 @@
 
 // --- readiness ---------------------------------------------------------------------------------------------
 
-bool Readiness::open(network::Address at, std::string& error) {
+bool ReadinessServer::listen(network::Address at, std::string& error) {
     limits_.idleTimeout = Span::seconds(30);
     listener_ = network::Listener::open(
         loop_, at,
         [this](int fd, network::Address) {
-            uint64_t id = nextVisit_++;
+            uint64_t id = nextVisitId_++;
             visits_[id] = std::make_unique<HttpVisit>(loop_, *this, fd, id);
         },
         error);
     return listener_ != nullptr;
 }
 
-void Readiness::asked(HttpVisit& visit, HttpRequest&& request) {
+void ReadinessServer::asked(HttpVisit& visit, HttpRequest&& request) {
     if (request.target().substr(0, 10) != "/readiness") return visit.answer(404, "", "");
-    bool ready = ready_();
+    bool ready = isReady_();
     visit.answer(ready ? 200 : 503, "", ready ? "ready\n" : "not ready\n");
 }
 
-void Readiness::left(HttpVisit& visit) {
+void ReadinessServer::left(HttpVisit& visit) {
     auto found = visits_.find(visit.id());
     if (found == visits_.end()) return;
     loop_.bury(std::move(found->second));
     visits_.erase(found);
 }
 
-void Readiness::look() {
+void ReadinessServer::closeTimedOut() {
     std::vector<HttpVisit*> all;
     for (auto& [id, visit] : visits_) all.push_back(visit.get());
     for (HttpVisit* visit : all) visit->look();
@@ -93,45 +93,47 @@
 
 // --- a connection to an instance ---------------------------------------------------------------------------
 
-struct Proxy::Line final : network::StreamOwner {
-    Proxy& of;
+struct Proxy::InstanceConnection final : network::StreamOwner {
+    Proxy& proxy;
     uint64_t id;
-    InstanceIx at;
-    std::string instance;
+    InstanceIndex instanceIndex;
+    std::string instanceId;
     std::unique_ptr<Stream> stream;
-    RequestId request = 0;  // 0: none
-    bool probe = false, idle = false;
-    bool parked = false;  // idle, and no slot of its instance is ours
-    AnswerReading reading{kMostAnswer};
+    RequestId requestId = 0;  // 0: none
+    bool isProbe = false, isIdle = false;
+    bool isParked = false;  // idle, and no slot of its instance is ours
+    ResponseReader reader{kMaxResponseBodyBytes};
     network::TimerId timer = 0;
-    Instant connectBy, patientUntil, deadline, idleSince;
-    Span keep = kIdleMost;  // as the endpoint told
+    Instant connectBy, attemptTimeoutAt, deadline, idleSince;
+    Span maxIdle = kMaxIdle;  // as the endpoint told
 
-    Line(Proxy& p, uint64_t i, InstanceIx a, std::string name)
-        : of(p), id(i), at(a), instance(std::move(name)) {}
+    InstanceConnection(Proxy& p, uint64_t i, InstanceIndex a, std::string name)
+        : proxy(p), id(i), instanceIndex(a), instanceId(std::move(name)) {}
     void connected(Stream&) override {
-        if (!probe) return;
-        probe = false;
-        idle = true, idleSince = of.loop_.now();
-        of.loop_.cancel(timer);
-        of.place(at).idle.push_back(this);
-        if (of.isStill(*this)) of.dispatch_.probed(of.loop_.now(), at, true);
-        of.pumpSoon();
+        if (!isProbe) return;
+        isProbe = false;
+        isIdle = true, idleSince = proxy.loop_.now();
+        proxy.loop_.cancel(timer);
+        proxy.poolOf(instanceIndex).idle.push_back(this);
+        if (proxy.isCurrent(*this)) proxy.dispatch_.onProbeResult(proxy.loop_.now(), instanceIndex, true);
+        proxy.scheduleOutputs();
     }
-    void data(Stream&) override { of.lineAnswered(*this); }
+    void data(Stream&) override { proxy.onResponseData(*this); }
     void ended(Stream& s, int) override {
-        if (request != 0 && !s.in().empty()) {
+        if (requestId != 0 && !s.in().empty()) {
             // What came may be a whole answer that the close followed.
-            of.lineAnswered(*this);
-            if (request == 0 || stream->in().empty()) return;
+            proxy.onResponseData(*this);
+            if (requestId == 0 || stream->in().empty()) return;
         }
-        if (request == 0) {
-            if (probe && of.isStill(*this)) of.dispatch_.probed(of.loop_.now(), at, false), of.pumpSoon();
-            return of.buryLine(*this);
+        if (requestId == 0) {
+            if (isProbe && proxy.isCurrent(*this))
+                proxy.dispatch_.onProbeResult(proxy.loop_.now(), instanceIndex, false),
+                    proxy.scheduleOutputs();
+            return proxy.closeConnection(*this);
         }
-        of.endLine(*this, !s.isConnected()   ? Ending::unconnected
-                          : s.anythingSent() ? Ending::broken
-                                             : Ending::unsent);
+        proxy.failConnection(*this, !s.isConnected()   ? AttemptOutcome::connectFailed
+                                    : s.anythingSent() ? AttemptOutcome::connectionBroken
+                                                       : AttemptOutcome::notSent);
     }
 };
 
@@ -143,11 +145,11 @@
       dispatch_(loop.now(), Dispatch::Options{chance, settings.zone, settings.bounds.retryBudgetRatio,
                                               settings.bounds.retrySlack, settings.bounds.budgetWindow,
                                               !settings.bootstrap}),
-      chance_{std::mt19937(chance + 1)}, readiness_(loop, [this] { return routes_ && !leaving_; }) {}
+      random_{std::mt19937(chance + 1)}, readiness_(loop, [this] { return routes_ && !isDraining_; }) {}
 
 Proxy::~Proxy() = default;
 
-bool Proxy::open(std::string& error) {
+bool Proxy::start(std::string& error) {
     if (!settings_.front || !settings_.readiness) {
         error = "listen_addresses: front and readiness expected for a role that serves edge";
         return false;
@@ -156,38 +158,38 @@
     auto ready = network::Address::parse(settings_.readiness->text());
     // Descriptors are for requests under way first: beyond the bound a new connection ends unread, and its
     // client goes elsewhere. 200 are the platform's for files, some our own; each request may take two.
-    mostVisits_ = static_cast<size_t>(std::max(64, settings_.limits.fileDescriptors - 300)) * 2 / 3;
-    dispatch_.bound(mostVisits_ / 2);
-    mostParked_ = mostVisits_ / 4;
+    maxVisits_ = static_cast<size_t>(std::max(64, settings_.limits.fileDescriptors - 300)) * 2 / 3;
+    dispatch_.setMaxQueued(maxVisits_ / 2);
+    maxParked_ = maxVisits_ / 4;
     // A body lies in several places on its way: as it came, in the kernel, and as it goes on.
-    mostBytes_ = static_cast<size_t>(settings_.limits.memoryMb) * 1'000'000 / 8;
+    maxBufferedBytes_ = static_cast<size_t>(settings_.limits.memoryMb) * 1'000'000 / 8;
     listener_ = network::Listener::open(
         loop_, *front,
         [this](int fd, network::Address) {
-            if (visits_.size() >= mostVisits_) {
-                ++turnedAway_;
+            if (visits_.size() >= maxVisits_) {
+                ++rejectedConnections_;
                 ::close(fd);
                 return;
             }
-            uint64_t id = nextVisit_++;
-            lastCame_ = loop_.now();
+            uint64_t id = nextVisitId_++;
+            lastAcceptedAt_ = loop_.now();
             visits_[id] = std::make_unique<HttpVisit>(loop_, *this, fd, id);
         },
         error);
     if (!listener_) return error = settings_.front->text() + ": " + error, false;
-    if (!readiness_.open(*ready, error)) return error = settings_.readiness->text() + ": " + error, false;
+    if (!readiness_.listen(*ready, error)) return error = settings_.readiness->text() + ": " + error, false;
     connectAgent();
-    sweep();
-    arm();
+    runPeriodicChecks();
+    armTimer();
     return true;
 }
 
 void Proxy::connectAgent() {
-    if (agent_) return;
-    agent_ = Link::connect(
+    if (agentLink_) return;
+    agentLink_ = Link::connect(
         loop_, *this, *network::Address::parse(loopback_, static_cast<uint16_t>(settings_.portFirst + 2)),
         Span());
-    if (!agent_) loop_.at(loop_.now() + Span::millis(100), [this] { connectAgent(); });
+    if (!agentLink_) loop_.at(loop_.now() + Span::millis(100), [this] { connectAgent(); });
 }
 
 void Proxy::linkUp(Link& link) {
@@ -197,37 +199,37 @@
 }
 
 void Proxy::linkDown(Link&, bool) {
-    agent_->close();
-    loop_.bury(std::move(agent_));
-    dispatch_.unlinked();
-    dispatch_.holderSilent(loop_.now(), true);
+    agentLink_->close();
+    loop_.bury(std::move(agentLink_));
+    dispatch_.onPlannerDisconnected();
+    dispatch_.setPlannerSilent(loop_.now(), true);
     loop_.at(loop_.now() + Span::millis(100), [this] { connectAgent(); });
 }
 
 void Proxy::frame(Link&, Kind kind, std::string_view payload) {
     if (kind == Kind::config) {
-        if (auto c = network::unpacked<network::Config>(payload)) configure(*c);
+        if (auto c = network::unpacked<network::Config>(payload)) applyConfiguration(*c);
     } else if (kind == Kind::standing) {
         if (auto s = network::unpacked<network::Standing>(payload)) {
-            dispatch_.standing(loop_.now(), s->term, s->linked, s->senders);
-            dispatch_.holderSilent(loop_.now(), s->silent);
+            dispatch_.updatePlannerStatus(loop_.now(), s->term, s->linked, s->senders);
+            dispatch_.setPlannerSilent(loop_.now(), s->silent);
         }
     } else if (kind == Kind::grants) {
-        if (auto g = network::unpacked<scaler::Grants>(payload)) dispatch_.granted(loop_.now(), *g);
+        if (auto g = network::unpacked<scaler::Grants>(payload)) dispatch_.applyGrants(loop_.now(), *g);
     }
-    pumpSoon();
+    scheduleOutputs();
 }
 
-void Proxy::configure(const network::Config& c) {
+void Proxy::applyConfiguration(const network::Config& c) {
     // Never backwards: what an older version allows is not served once a newer one was.
-    const configuration::Taking how = text_.take(c);
+    const configuration::Taking how = configurationText_.take(c);
     if (how == configuration::Taking::older) return;
     if (how != configuration::Taking::taken) {  // as after a start between two versions: the whole, please
-        ++wholeAsked_;
-        agent_->say(Kind::want, network::Beat{});
+        ++fullConfigRequests_;
+        agentLink_->say(Kind::want, network::Beat{});
         return;
     }
-    auto made = configuration::trusted(text_.text());
+    auto made = configuration::trusted(configurationText_.text());
     if (!made) return spdlog::error("configuration {}: agent: can't be read", c.version);
     limits_ = {made->limits.headerBytes, made->limits.bodyBytes, made->limits.headerTimeout,
                made->limits.idleTimeout};
@@ -235,22 +237,22 @@
     for (const auto& s : made->services)
         specs.push_back({s.name, s.maxConcurrency, s.boot, s.maxConnections});
     routes_ = std::make_unique<configuration::RouteTable>(std::move(made));
-    dispatch_.configured(loop_.now(), specs);
+    dispatch_.updateServices(loop_.now(), specs);
     spdlog::info("configuration {} in force, {} routes, {} services", c.version,
                  routes_->configuration()->routes.size(), specs.size());
 }
 
 void Proxy::asked(HttpVisit& visit, HttpRequest&& request) {
-    auto notRun = [&](Span wait) { visit.answer(503, retryAfter(wait), "", leaving_); };
+    auto notRun = [&](Span wait) { visit.answer(503, retryAfterField(wait), "", isDraining_); };
     if (!routes_) {  // without a configuration nothing is known of any route: no 404
         ++notReady_;
         return notRun(Span::millis(300) +
-                      Span::seconds(chance_.between(0.05, 0.25)));  // the design's random extra
+                      Span::seconds(random_.between(0.05, 0.25)));  // the design's random extra
     }
     // Where few senders are left the platform goes on sending here to the end. What could no more be finished
     // before the process is killed is told at once that it has not run. Harm: what would have been quick.
-    if (leaving_ && loop_.now() - leavingSince_ > settings_.bounds.grace - kLastCalls) {
-        visit.answer(503, retryAfter(Span::millis(50)), "", true);
+    if (isDraining_ && loop_.now() - drainingSince_ > settings_.bounds.grace - kRejectNewBeforeKill) {
+        visit.answer(503, retryAfterField(Span::millis(50)), "", true);
         return;
     }
     auto host = request.head.field("Host");
@@ -258,56 +260,56 @@
     const configuration::Route* route = routes_->find(host.value_or(""), target.substr(0, target.find('?')));
     if (!route) {
         ++noRoute_;
-        return visit.answer(404, "", "", leaving_);
+        return visit.answer(404, "", "", isDraining_);
     }
     // A process over its memory is killed, with all that it has under way. Harm: who comes with nothing to
     // carry is told to come back as well.
-    if (bytes_ + request.raw.size() + request.body.size() > mostBytes_) {
-        ++tooMuch_;
-        Span wait = Span::millis(200) + Span::seconds(chance_.between(0.05, 0.25));
-        return visit.answer(503, retryAfter(wait), "", true);
+    if (bufferedBytes_ + request.raw.size() + request.body.size() > maxBufferedBytes_) {
+        ++rejectedForMemory_;
+        Span wait = Span::millis(200) + Span::seconds(random_.between(0.05, 0.25));
+        return visit.answer(503, retryAfterField(wait), "", true);
     }
     auto id = request.head.field("X-Attempt-Id");
-    if (!id || id->empty()) return visit.answer(400, "", "X-Attempt-Id is missing\n", leaving_);
+    if (!id || id->empty()) return visit.answer(400, "", "X-Attempt-Id is missing\n", isDraining_);
     Span left = route->timeout;
     if (auto told = request.head.field("X-Time-Remaining")) {
         // Compared as numbers: one beyond all spans would come out of the conversion as long past.
         auto ms = http::decimal(*told);
         if (ms && *ms >= 0 && *ms / 1000 < left.inSeconds()) left = Span::seconds(*ms / 1000);
     }
-    Arrival a;
-    a.id = nextRequest_++;
+    IncomingRequest a;
+    a.id = nextRequestId_++;
     const auto& to = route->to;
     a.service = to.front().first;
     if (to.size() > 1) {
         double sum = 0;
         for (const auto& [name, weight] : to) sum += weight;
-        double at = chance_.between(0, sum);
+        double at = random_.between(0, sum);
         for (const auto& [name, weight] : to) {
             if (weight <= 0) continue;
             a.service = name;
             if ((at -= weight) < 0) break;
         }
     }
-    a.repeatable = route->repeatable, a.priority = route->priority, a.maxAttempts = route->maxAttempts;
-    a.deadline = loop_.now() + left, a.target = route->target, a.timeout = route->timeout;
+    a.isIdempotent = route->repeatable, a.priority = route->priority, a.maxAttempts = route->maxAttempts;
+    a.deadline = loop_.now() + left, a.targetLatency = route->target, a.routeTimeout = route->timeout;
     Exchange& e = exchanges_[a.id];
     e.visit = visit.id(), e.attemptId = std::string(*id), e.deadline = a.deadline,
-    e.repeatable = a.repeatable;
+    e.isIdempotent = a.isIdempotent;
     e.request = std::move(request);
-    weigh(e);
+    updateBufferedBytes(e);
     visit.tag = a.id;
-    dispatch_.arrived(loop_.now(), a);
-    pumpSoon();
+    dispatch_.onRequest(loop_.now(), a);
+    scheduleOutputs();
 }
 
 void Proxy::hungUp(HttpVisit& visit) {
     if (visit.tag == 0) return;
     auto found = exchanges_.find(visit.tag);
-    if (found == exchanges_.end() || !dispatch_.waits(visit.tag)) return;
+    if (found == exchanges_.end() || !dispatch_.isQueued(visit.tag)) return;
     // It has not been sent: with its client gone it need not be.
-    dispatch_.withdrawn(loop_.now(), visit.tag);
-    forget(found);
+    dispatch_.cancelRequest(loop_.now(), visit.tag);
+    eraseExchange(found);
     visit.tag = 0;
     loop_.soon([this, id = visit.id()] {
         if (auto v = visits_.find(id); v != visits_.end()) left(*v->second);
@@ -319,7 +321,8 @@
         auto found = exchanges_.find(visit.tag);
         if (found != exchanges_.end()) {
             found->second.visit = 0;
-            if (dispatch_.waits(visit.tag)) dispatch_.withdrawn(loop_.now(), visit.tag), forget(found);
+            if (dispatch_.isQueued(visit.tag))
+                dispatch_.cancelRequest(loop_.now(), visit.tag), eraseExchange(found);
         }
     }
     auto at = visits_.find(visit.id());
@@ -328,48 +331,48 @@
     visits_.erase(at);
 }
 
-void Proxy::weigh(Exchange& e) {
-    bytes_ -= e.weighs;
-    e.weighs = e.request.raw.size() + e.request.body.size();
-    if (e.answer) e.weighs += e.answer->raw.size() + e.answer->body.size();
-    bytes_ += e.weighs;
+void Proxy::updateBufferedBytes(Exchange& e) {
+    bufferedBytes_ -= e.countedBytes;
+    e.countedBytes = e.request.raw.size() + e.request.body.size();
+    if (e.response) e.countedBytes += e.response->raw.size() + e.response->body.size();
+    bufferedBytes_ += e.countedBytes;
 }
 
-void Proxy::forget(std::unordered_map<RequestId, Exchange>::iterator found) {
-    bytes_ -= found->second.weighs;
+void Proxy::eraseExchange(std::unordered_map<RequestId, Exchange>::iterator found) {
+    bufferedBytes_ -= found->second.countedBytes;
     exchanges_.erase(found);
 }
 
-void Proxy::pumpSoon() {
-    if (pumping_) return;
-    pumping_ = true;
-    loop_.soon([this] { pump(); });
+void Proxy::scheduleOutputs() {
+    if (areOutputsScheduled_) return;
+    areOutputsScheduled_ = true;
+    loop_.soon([this] { processOutputs(); });
 }
 
-void Proxy::pump() {
-    pumping_ = false;
+void Proxy::processOutputs() {
+    areOutputsScheduled_ = false;
     if (dispatch_.wakeAt() <= loop_.now()) dispatch_.tick(loop_.now());
     while (auto output = dispatch_.next()) {
-        if (auto* s = std::get_if<SendTo>(&*output))
-            carry(*s);
-        else if (auto* r = std::get_if<Refuse>(&*output))
-            answerPlain(r->id, r->status, retryAfter(r->comeBack));
-        else if (auto* g = std::get_if<GiveUp>(&*output))
-            answerPlain(g->id, g->status, "");
-        else if (auto* p = std::get_if<PassOn>(&*output))
-            passOn(p->id);
-        else if (auto* b = std::get_if<Probe>(&*output))
-            probe(b->at);
-        else if (auto* d = std::get_if<Drop>(&*output))
-            drop(*d);
-        else if (auto* t = std::get_if<Tell>(&*output)) {
-            if (agent_ && agent_->isUp()) agent_->say(Kind::report, t->report);
+        if (auto* s = std::get_if<SendRequest>(&*output))
+            sendRequest(*s);
+        else if (auto* r = std::get_if<RejectRequest>(&*output))
+            answerWithStatus(r->id, r->status, retryAfterField(r->retryAfter));
+        else if (auto* g = std::get_if<FailRequest>(&*output))
+            answerWithStatus(g->id, g->status, "");
+        else if (auto* p = std::get_if<ForwardResponse>(&*output))
+            forwardResponse(p->id);
+        else if (auto* b = std::get_if<ProbeInstance>(&*output))
+            probeInstance(b->instance);
+        else if (auto* d = std::get_if<ReleaseInstance>(&*output))
+            releaseInstance(*d);
+        else if (auto* t = std::get_if<SendReport>(&*output)) {
+            if (agentLink_ && agentLink_->isUp()) agentLink_->say(Kind::report, t->report);
         }
     }
-    arm();
+    armTimer();
 }
 
-void Proxy::arm() {
+void Proxy::armTimer() {
     Instant wake = dispatch_.wakeAt();
     if (timer_ != 0 && armedFor_ <= wake) return;
     loop_.cancel(timer_);
@@ -377,20 +380,20 @@
     timer_ = loop_.at(wake, [this] {
         timer_ = 0;
         dispatch_.tick(loop_.now());
-        pumpSoon();
+        scheduleOutputs();
     });
 }
 
-Proxy::Place& Proxy::place(InstanceIx at) {
-    if (places_.size() <= at) places_.resize(at + 1);
-    return places_[at];
+Proxy::ConnectionPool& Proxy::poolOf(InstanceIndex at) {
+    if (pools_.size() <= at) pools_.resize(at + 1);
+    return pools_[at];
 }
 
-std::string Proxy::requestBytes(const Exchange& e, const std::string& instance) const {
+std::string Proxy::serializeRequest(const Exchange& e, const std::string& instance) const {
     std::string out;
     out.reserve(e.request.raw.size() + e.request.body.size() + 128);
     out.append(e.request.method()).append(" ").append(e.request.target()).append(" HTTP/1.1\r\n");
-    copyFields(out, e.request.head, {"X-Time-Remaining", "X-Target-Endpoint"});
+    appendFields(out, e.request.head, {"X-Time-Remaining", "X-Target-Endpoint"});
     int64_t left = std::max<int64_t>(1, (e.deadline - loop_.now()).inMicros() / 1000);
     out.append("X-Time-Remaining: ").append(std::to_string(left)).append("\r\n");
     // Addresses come back under other services: whoever else has it now answers 421 and runs nothing.
@@ -401,151 +404,155 @@
     return out;
 }
 
-void Proxy::carry(const SendTo& s) {
+void Proxy::sendRequest(const SendRequest& s) {
     auto found = exchanges_.find(s.id);
-    const InstanceView* view = dispatch_.instance(s.at);
+    const InstanceInfo* view = dispatch_.findInstance(s.instance);
     if (found == exchanges_.end() || !view) {
-        dispatch_.ended(loop_.now(), s.id, Ending::unconnected);
-        return pumpSoon();
+        dispatch_.onAttemptEnded(loop_.now(), s.id, AttemptOutcome::connectFailed);
+        return scheduleOutputs();
     }
     Exchange& e = found->second;
     Instant now = loop_.now();
-    Place& p = place(s.at);
-    Line* line = takeIdle(p.idle, e);
+    ConnectionPool& p = poolOf(s.instance);
+    InstanceConnection* line = takeIdleConnection(p.idle, e);
     if (auto parked = parked_.find(view->id); !line && parked != parked_.end()) {
         p.idle = std::move(parked->second);
         parked_.erase(parked);
         parkedCount_ -= p.idle.size();
-        for (Line* each : p.idle) each->parked = false, each->at = s.at;
-        line = takeIdle(p.idle, e);
-        connectsSpared_ += line != nullptr;
+        for (InstanceConnection* each : p.idle) each->isParked = false, each->instanceIndex = s.instance;
+        line = takeIdleConnection(p.idle, e);
+        connectsSaved_ += line != nullptr;
     }
     if (!line) {
         auto address = network::Address::parse(view->address);
-        auto made = std::make_unique<Line>(*this, nextLine_++, s.at, view->id);
+        auto made = std::make_unique<InstanceConnection>(*this, nextConnectionId_++, s.instance, view->id);
         ++connects_;
-        if (address) made->stream = Stream::connect(loop_, *made, *address, kSilence);
+        if (address) made->stream = Stream::connect(loop_, *made, *address, kUnacknowledgedTimeout);
         if (!made->stream) {
-            dispatch_.ended(now, s.id, Ending::unconnected);
-            return pumpSoon();
+            dispatch_.onAttemptEnded(now, s.id, AttemptOutcome::connectFailed);
+            return scheduleOutputs();
         }
         line = made.get();
-        lines_[made->id] = std::move(made);
+        connections_[made->id] = std::move(made);
     }
-    line->idle = false;
-    line->request = s.id, e.line = line, e.answer.reset();
-    weigh(e);
-    line->connectBy = now + kConnect;
-    line->patientUntil = s.patience > Span() ? now + s.patience : Instant::never();
+    line->isIdle = false;
+    line->requestId = s.id, e.connection = line, e.response.reset();
+    updateBufferedBytes(e);
+    line->connectBy = now + kConnectTimeout;
+    line->attemptTimeoutAt = s.attemptTimeout > Span() ? now + s.attemptTimeout : Instant::never();
     line->deadline = e.deadline + Span::millis(30);
-    line->stream->sendAnew(requestBytes(e, line->instance));
-    Instant first = std::min(line->patientUntil, line->deadline);
+    line->stream->sendAnew(serializeRequest(e, line->instanceId));
+    Instant first = std::min(line->attemptTimeoutAt, line->deadline);
     if (!line->stream->isConnected()) first = std::min(first, line->connectBy);
-    line->timer = loop_.at(first, [this, line] { line->timer = 0, lineTimed(*line); });
+    line->timer = loop_.at(first, [this, line] { line->timer = 0, onConnectionTimer(*line); });
 }
 
 // The one used last, as it is the least likely to be about to close. What may run only once does not trust
 // one that lay long: a close that crosses it would leave open whether it ran.
-Proxy::Line* Proxy::takeIdle(std::vector<Line*>& idle, const Exchange& e) {
+Proxy::InstanceConnection* Proxy::takeIdleConnection(std::vector<InstanceConnection*>& idle,
+                                                     const Exchange& e) {
     while (!idle.empty()) {
-        Line* last = idle.back();
+        InstanceConnection* last = idle.back();
         idle.pop_back();
         Span lay = loop_.now() - last->idleSince;
-        Span most = e.repeatable ? last->keep : std::min(kIdleOnce, last->keep * 0.5);
-        if (lay < most && !last->reading.spoilt()) return last;
-        buryLine(*last);
+        Span most = e.isIdempotent ? last->maxIdle : std::min(kMaxIdleNonIdempotent, last->maxIdle * 0.5);
+        if (lay < most && !last->reader.mustClose()) return last;
+        closeConnection(*last);
     }
     return nullptr;
 }
 
-void Proxy::lineTimed(Line& line) {
+void Proxy::onConnectionTimer(InstanceConnection& line) {
     Instant now = loop_.now();
-    if (line.probe) {
-        if (isStill(line)) dispatch_.probed(now, line.at, false);
-        pumpSoon();
-        return buryLine(line);
+    if (line.isProbe) {
+        if (isCurrent(line)) dispatch_.onProbeResult(now, line.instanceIndex, false);
+        scheduleOutputs();
+        return closeConnection(line);
     }
-    if (line.request == 0) return;
-    if (!line.stream->isConnected() && now >= line.connectBy) return endLine(line, Ending::unconnected);
-    if (now >= line.patientUntil && line.stream->anythingSent() && !dispatch_.mayGiveUp(now, line.request))
-        line.patientUntil = Instant::never();
-    if (now >= line.patientUntil || now >= line.deadline)
-        return endLine(line, line.stream->anythingSent() ? Ending::silent : Ending::unsent);
-    line.timer = loop_.at(std::min(line.patientUntil, line.deadline),
-                          [this, &line] { line.timer = 0, lineTimed(line); });
+    if (line.requestId == 0) return;
+    if (!line.stream->isConnected() && now >= line.connectBy)
+        return failConnection(line, AttemptOutcome::connectFailed);
+    if (now >= line.attemptTimeoutAt && line.stream->anythingSent() &&
+        !dispatch_.mayAbandonAttempt(now, line.requestId))
+        line.attemptTimeoutAt = Instant::never();
+    if (now >= line.attemptTimeoutAt || now >= line.deadline)
+        return failConnection(
+            line, line.stream->anythingSent() ? AttemptOutcome::timedOut : AttemptOutcome::notSent);
+    line.timer = loop_.at(std::min(line.attemptTimeoutAt, line.deadline),
+                          [this, &line] { line.timer = 0, onConnectionTimer(line); });
 }
 
 // Indices of instances come again: what a probe of an earlier one showed says nothing of the next.
-bool Proxy::isStill(const Line& line) const {
-    const InstanceView* view = dispatch_.instance(line.at);
-    return view && view->id == line.instance;
+bool Proxy::isCurrent(const InstanceConnection& line) const {
+    const InstanceInfo* view = dispatch_.findInstance(line.instanceIndex);
+    return view && view->id == line.instanceId;
 }
 
-void Proxy::endLine(Line& line, Ending how) {
-    RequestId id = line.request;
-    line.request = 0;
-    if (auto found = exchanges_.find(id); found != exchanges_.end()) found->second.line = nullptr;
-    buryLine(line);
-    if (id != 0) dispatch_.ended(loop_.now(), id, how);
-    pumpSoon();
+void Proxy::failConnection(InstanceConnection& line, AttemptOutcome how) {
+    RequestId id = line.requestId;
+    line.requestId = 0;
+    if (auto found = exchanges_.find(id); found != exchanges_.end()) found->second.connection = nullptr;
+    closeConnection(line);
+    if (id != 0) dispatch_.onAttemptEnded(loop_.now(), id, how);
+    scheduleOutputs();
 }
 
-void Proxy::buryLine(Line& line) {
+void Proxy::closeConnection(InstanceConnection& line) {
     loop_.cancel(line.timer);
     line.stream->close();
-    auto& idle = place(line.at).idle;
+    auto& idle = poolOf(line.instanceIndex).idle;
     idle.erase(std::remove(idle.begin(), idle.end(), &line), idle.end());
-    if (auto parked = parked_.find(line.instance); parked != parked_.end()) {
+    if (auto parked = parked_.find(line.instanceId); parked != parked_.end()) {
         parkedCount_ -= std::erase(parked->second, &line);
         if (parked->second.empty()) parked_.erase(parked);
     }
-    auto found = lines_.find(line.id);
-    if (found == lines_.end()) return;
+    auto found = connections_.find(line.id);
+    if (found == connections_.end()) return;
     loop_.bury(std::move(found->second));
-    lines_.erase(found);
+    connections_.erase(found);
 }
 
-void Proxy::lineAnswered(Line& line) {
-    if (line.request == 0) {  // bytes that belong to no request: the connection is of no more use
-        ++excess_;
-        return buryLine(line);
+void Proxy::onResponseData(InstanceConnection& line) {
+    if (line.requestId == 0) {  // bytes that belong to no request: the connection is of no more use
+        ++excessResponses_;
+        return closeConnection(line);
     }
-    auto found = exchanges_.find(line.request);
-    if (found == exchanges_.end()) return endLine(line, Ending::broken);
+    auto found = exchanges_.find(line.requestId);
+    if (found == exchanges_.end()) return failConnection(line, AttemptOutcome::connectionBroken);
     Exchange& e = found->second;
-    const Expected expected{e.attemptId, e.repeatable, e.request.method() == "HEAD"};
-    const uint64_t excessBefore = line.reading.excess();
-    auto conclusion = line.reading.read(line.stream->in(), line.stream->isClosed(), expected);
-    excess_ += line.reading.excess() - excessBefore;
+    const ExpectedResponse expected{e.attemptId, e.isIdempotent, e.request.method() == "HEAD"};
+    const uint64_t excessBefore = line.reader.excessCount();
+    auto conclusion = line.reader.read(line.stream->in(), line.stream->isClosed(), expected);
+    excessResponses_ += line.reader.excessCount() - excessBefore;
     if (!conclusion) return;
-    spoilt_ += conclusion->spoilt;
-    if (!conclusion->answer) return endLine(line, conclusion->how);
-    if (conclusion->keepAlive) line.keep = *conclusion->keepAlive;
-    const RequestId request = line.request;
-    line.request = 0, e.line = nullptr;
+    invalidResponses_ += conclusion->isInvalid;
+    if (!conclusion->response) return failConnection(line, conclusion->outcome);
+    if (conclusion->keepAlive) line.maxIdle = *conclusion->keepAlive;
+    const RequestId request = line.requestId;
+    line.requestId = 0, e.connection = nullptr;
     loop_.cancel(line.timer);
-    e.answer = std::move(conclusion->answer);
-    weigh(e);
-    if (conclusion->keep) {
-        line.idle = true, line.idleSince = loop_.now();
-        place(line.at).idle.push_back(&line);
+    e.response = std::move(conclusion->response);
+    updateBufferedBytes(e);
+    if (conclusion->isReusable) {
+        line.isIdle = true, line.idleSince = loop_.now();
+        poolOf(line.instanceIndex).idle.push_back(&line);
     } else {
-        buryLine(line);
+        closeConnection(line);
     }
-    dispatch_.ended(loop_.now(), request, conclusion->how);
-    pumpSoon();
+    dispatch_.onAttemptEnded(loop_.now(), request, conclusion->outcome);
+    scheduleOutputs();
 }
 
-void Proxy::passOn(RequestId id) {
+void Proxy::forwardResponse(RequestId id) {
     auto found = exchanges_.find(id);
     if (found == exchanges_.end()) return;
     Exchange& e = found->second;
     auto visit = visits_.find(e.visit);
-    if (visit != visits_.end() && e.answer) {
-        const HttpAnswer& a = *e.answer;
+    if (visit != visits_.end() && e.response) {
+        const HttpAnswer& a = *e.response;
         std::string head = "HTTP/1.1 " + std::to_string(a.status) + " ";
         head.append(a.head.third.empty() ? http::reason(a.status) : std::string(a.head.third)).append("\r\n");
-        copyFields(head, a.head, {});
+        appendFields(head, a.head, {});
         // Where no body may come the length tells of another answer's, and is the endpoint's word.
         if (a.bodiless) {
             if (auto length = a.head.field("Content-Length"))
@@ -553,123 +560,126 @@
         } else {
             head.append("Content-Length: ").append(std::to_string(a.body.size())).append("\r\n");
         }
-        bool last = leaving_ || visit->second->wantsClose();
+        bool last = isDraining_ || visit->second->wantsClose();
         if (last) head.append("Connection: close\r\n");
         head.append("\r\n");
         visit->second->tag = 0;
         visit->second->answerAsIs(head, a.body, last);
     }
-    forget(found);
+    eraseExchange(found);
 }
 
-void Proxy::answerPlain(RequestId id, int status, std::string_view fields) {
+void Proxy::answerWithStatus(RequestId id, int status, std::string_view fields) {
     auto found = exchanges_.find(id);
     if (found == exchanges_.end()) return;
     if (spdlog::should_log(spdlog::level::debug))
         spdlog::debug("request {}: {} {}: {} with {} ms left", found->second.attemptId,
                       found->second.request.method(), found->second.request.target(), status,
                       (found->second.deadline - loop_.now()).inMicros() / 1000);
-    if (Line* line = found->second.line) line->request = 0, buryLine(*line);
+    if (InstanceConnection* line = found->second.connection) line->requestId = 0, closeConnection(*line);
     auto visit = visits_.find(found->second.visit);
     // A client that is refused comes back on another connection and may leave this one idle: in a rush these
     // took all descriptors, and whoever came then was reset, told nothing and back at once. Harm: in a rush a
     // client that would have kept it opens a new one.
-    bool last = leaving_ || visits_.size() > mostVisits_ / 2;
+    bool last = isDraining_ || visits_.size() > maxVisits_ / 2;
     if (visit != visits_.end()) visit->second->tag = 0, visit->second->answer(status, fields, "", last);
-    forget(found);
+    eraseExchange(found);
 }
 
-void Proxy::probe(InstanceIx at) {
-    const InstanceView* view = dispatch_.instance(at);
+void Proxy::probeInstance(InstanceIndex at) {
+    const InstanceInfo* view = dispatch_.findInstance(at);
     if (!view) return;
-    auto made = std::make_unique<Line>(*this, nextLine_++, at, view->id);
+    auto made = std::make_unique<InstanceConnection>(*this, nextConnectionId_++, at, view->id);
     auto address = network::Address::parse(view->address);
-    if (address) made->stream = Stream::connect(loop_, *made, *address, kSilence);
+    if (address) made->stream = Stream::connect(loop_, *made, *address, kUnacknowledgedTimeout);
     if (!made->stream) {
-        dispatch_.probed(loop_.now(), at, false);
-        return pumpSoon();
+        dispatch_.onProbeResult(loop_.now(), at, false);
+        return scheduleOutputs();
     }
-    made->probe = true;
-    Line* line = made.get();
-    lines_[made->id] = std::move(made);
-    line->timer = loop_.at(loop_.now() + kConnect, [this, line] { line->timer = 0, lineTimed(*line); });
+    made->isProbe = true;
+    InstanceConnection* line = made.get();
+    connections_[made->id] = std::move(made);
+    line->timer =
+        loop_.at(loop_.now() + kConnectTimeout, [this, line] { line->timer = 0, onConnectionTimer(*line); });
 }
 
 // Keeps an idle connection for when a slot of its instance comes back. False: it is to be closed.
-bool Proxy::park(Line& line, size_t mayKeep) {
-    if (!line.idle || line.request != 0 || line.reading.spoilt()) return false;
-    const auto same = parked_.find(line.instance);
+bool Proxy::park(InstanceConnection& line, size_t mayKeep) {
+    if (!line.isIdle || line.requestId != 0 || line.reader.mustClose()) return false;
+    const auto same = parked_.find(line.instanceId);
     const size_t kept = same != parked_.end() ? same->second.size() : 0;
-    if (kept >= mayKeep || parkedCount_ >= mostParked_) return false;
-    parked_[line.instance].push_back(&line);
-    line.parked = true;
+    if (kept >= mayKeep || parkedCount_ >= maxParked_) return false;
+    parked_[line.instanceId].push_back(&line);
+    line.isParked = true;
     ++parkedCount_;
     return true;
 }
 
-void Proxy::drop(const Drop& d) {
-    std::vector<Line*> mine;
-    for (auto& [id, line] : lines_)
-        if (line->at == d.at && !line->parked) mine.push_back(line.get());
-    for (Line* line : mine) {
-        if (park(*line, d.mayKeep)) continue;
-        if (line->request != 0)
-            endLine(*line, line->stream->anythingSent() ? Ending::broken : Ending::unsent);
+void Proxy::releaseInstance(const ReleaseInstance& d) {
+    std::vector<InstanceConnection*> mine;
+    for (auto& [id, line] : connections_)
+        if (line->instanceIndex == d.instance && !line->isParked) mine.push_back(line.get());
+    for (InstanceConnection* line : mine) {
+        if (park(*line, d.maxIdleConnections)) continue;
+        if (line->requestId != 0)
+            failConnection(*line, line->stream->anythingSent() ? AttemptOutcome::connectionBroken
+                                                               : AttemptOutcome::notSent);
         else
-            buryLine(*line);
+            closeConnection(*line);
     }
-    place(d.at).idle.clear();
+    poolOf(d.instance).idle.clear();
 }
 
-void Proxy::sweep() {
+void Proxy::runPeriodicChecks() {
     Instant now = loop_.now();
     std::vector<HttpVisit*> all;
     for (auto& [id, visit] : visits_) all.push_back(visit.get());
     for (HttpVisit* visit : all) visit->look();
-    readiness_.look();
-    for (Place& p : places_) buryIdleLongest(p.idle);
+    readiness_.closeTimedOut();
+    for (ConnectionPool& p : pools_) closeExpiredIdle(p.idle);
     std::vector<std::string> parked;
     for (const auto& [instance, idle] : parked_) parked.push_back(instance);
-    for (const std::string& instance : parked) buryIdleLongest(parked_[instance]);
-    if (now >= logAt_) logAt_ = now + Span::seconds(10), logCounters();
-    if (leaving_) mayEnd();
-    sweepTimer_ = loop_.at(now + Span::millis(leaving_ ? 100 : 500), [this] { sweep(); });
+    for (const std::string& instance : parked) closeExpiredIdle(parked_[instance]);
+    if (now >= nextLogAt_) nextLogAt_ = now + Span::seconds(10), logCounters();
+    if (isDraining_) stopIfDrained();
+    sweepTimer_ = loop_.at(now + Span::millis(isDraining_ ? 100 : 500), [this] { runPeriodicChecks(); });
 }
 
-void Proxy::buryIdleLongest(std::vector<Line*>& idle) {
+void Proxy::closeExpiredIdle(std::vector<InstanceConnection*>& idle) {
     size_t over = 0;
-    while (over < idle.size() && loop_.now() - idle[over]->idleSince > idle[over]->keep) ++over;
-    const std::vector<Line*> old(idle.begin(), idle.begin() + static_cast<std::ptrdiff_t>(over));
-    for (Line* line : old) buryLine(*line);
+    while (over < idle.size() && loop_.now() - idle[over]->idleSince > idle[over]->maxIdle) ++over;
+    const std::vector<InstanceConnection*> old(idle.begin(),
+                                               idle.begin() + static_cast<std::ptrdiff_t>(over));
+    for (InstanceConnection* line : old) closeConnection(*line);
 }
 
-void Proxy::leave() {
-    if (leaving_) return;
-    leaving_ = true, leavingSince_ = loop_.now();
+void Proxy::startDraining() {
+    if (isDraining_) return;
+    isDraining_ = true, drainingSince_ = loop_.now();
     spdlog::info("leaving: {} connections, {} requests under way", visits_.size(), exchanges_.size());
-    dispatch_.leaving(loop_.now());
-    pumpSoon();
+    dispatch_.startDraining(loop_.now());
+    scheduleOutputs();
     loop_.cancel(sweepTimer_);
-    sweep();
+    runPeriodicChecks();
 }
 
 // New connections come for two seconds and more after the readiness check fails: they are served to the last,
 // each with its connection's end. Then the rest of the grace is for what is still at an endpoint.
-void Proxy::mayEnd() {
+void Proxy::stopIfDrained() {
     Instant now = loop_.now();
-    Span lasts = now - leavingSince_;
+    Span lasts = now - drainingSince_;
     if (lasts > Span::millis(400)) {
         std::vector<HttpVisit*> all;
         for (auto& [id, visit] : visits_) all.push_back(visit.get());
         for (HttpVisit* visit : all) visit->closeWhenIdle(Span::millis(300));
     }
-    if (lasts > settings_.bounds.grace - kLastHeld) {
+    if (lasts > settings_.bounds.grace - kRejectQueuedBeforeKill) {
         if (listener_) listener_->close();  // who comes now is told by the reset, having sent nothing
-        dispatch_.turnAway(now);
-        pumpSoon();
+        dispatch_.rejectQueued(now);
+        scheduleOutputs();
     }
-    bool quiet = exchanges_.empty() && now - lastCame_ > Span::millis(700);
-    bool late = lasts > settings_.bounds.grace - kLastHeld + Span::millis(200);
+    bool quiet = exchanges_.empty() && now - lastAcceptedAt_ > Span::millis(700);
+    bool late = lasts > settings_.bounds.grace - kRejectQueuedBeforeKill + Span::millis(200);
     bool busy = std::any_of(visits_.begin(), visits_.end(), [](const auto& v) { return v.second->busy(); });
     if ((quiet && !busy && lasts > Span::millis(3200)) || (late && !busy && exchanges_.empty()) ||
         lasts > settings_.bounds.grace - Span::millis(250)) {
@@ -686,10 +696,11 @@
         "borrowed={} borrowed_full={} excess={} spoilt={} connects={} connects_spared={} parked={} "
         "whole_asked={} open={} waiting={} "
         "turned_away={} too_much={} bytes={}",
-        c.arrived, c.sent, c.passed, c.refusedAtOnce, c.refusedHeld, c.again, c.gaveUp, c.full, c.misdirected,
-        c.broken, c.silent, c.unconnected, c.probes, c.reports, noRoute_, notReady_, c.borrowed,
-        c.borrowedFull, excess_, spoilt_, connects_, connectsSpared_, parkedCount_, wholeAsked_,
-        visits_.size(), dispatch_.held(), turnedAway_, tooMuch_, bytes_);
+        c.received, c.sent, c.forwarded, c.rejectedImmediately, c.rejectedAfterQueueing, c.retries, c.failed,
+        c.notExecuted, c.misdirected, c.connectionBroken, c.timedOut, c.connectFailed, c.probes, c.reports,
+        noRoute_, notReady_, c.borrowed, c.borrowedNotExecuted, excessResponses_, invalidResponses_,
+        connects_, connectsSaved_, parkedCount_, fullConfigRequests_, visits_.size(), dispatch_.queuedCount(),
+        rejectedConnections_, rejectedForMemory_, bufferedBytes_);
 }
 
 }  // namespace petrelpond::proxy
--- a/system/proxy/proxy_test.cpp
+++ b/system/proxy/proxy_test.cpp
@@ -226,7 +226,7 @@
         settings_.limits.memoryMb = 8;
         proxy_ = std::make_unique<Proxy>(turning_.loop, settings_, 1);
         std::string error;
-        EXPECT_TRUE(proxy_->open(error)) << error;
+        EXPECT_TRUE(proxy_->start(error)) << error;
         turning_.start();
         agent_ = agentDoor_.taken();
         EXPECT_EQ(nextFrame().first, network::Kind::hello);
@@ -838,7 +838,7 @@
     c->send(request("/once/a", "id-1"));
     auto e = door.taken();
     e->message();
-    turning_.ask([this] { proxy_->leave(); });
+    turning_.ask([this] { proxy_->startDraining(); });
     EXPECT_EQ(statusOf(readiness()), 503);
     EXPECT_TRUE(reportThat([](auto& r) { return r.leaving; }));
     auto late = client();  // one that the platform still sent
@@ -869,7 +869,7 @@
     e->message();
     e->send(answer("id-0", "first"));
     EXPECT_EQ(statusOf(first->message()), 200);
-    turning_.ask([this] { proxy_->leave(); });
+    turning_.ask([this] { proxy_->startDraining(); });
     std::string last;
     for (int i = 1; i < 100000; ++i) {
         std::string id = "id-" + std::to_string(i);
--- a/system/proxy/slots_sim_for_test.hpp
+++ b/system/proxy/slots_sim_for_test.hpp
@@ -157,7 +157,7 @@
         m.goneAt = now_;
         const std::set<uint64_t> all = std::move(m.inUse);
         m.inUse.clear();
-        for (uint64_t call : all) endCall(call, Ending::broken, millis(1 + below(10)));
+        for (uint64_t call : all) endCall(call, AttemptOutcome::connectionBroken, millis(1 + below(10)));
     }
     void list(size_t c, int generation) {
         if (cores_[c].generation != generation || !cores_[c].planner) return;
@@ -481,12 +481,12 @@
         x.term = x.toldTerm = x.grantTerm = 0, x.holder = -1, x.toldLinked = false;
         x.may.clear(), x.told.clear(), x.busy.clear(), x.lent.clear(), x.stray = false, x.toldAt = -1;
         Dispatch::Options o;
-        o.chance = random_(), o.zone = s % 2 ? "a" : "b";
+        o.seed = random_(), o.zone = s % 2 ? "a" : "b";
         x.dispatch = std::make_unique<Dispatch>(now(), o);
         std::vector<ServiceSpec> specs;
         for (const Service& each : kServices)
             specs.push_back({each.name, each.slots, Span::millis(each.boot)});
-        x.dispatch->configured(now(), specs);
+        x.dispatch->updateServices(now(), specs);
         for (size_t c = 0; c < kCores; ++c) {
             x.wires[c].trying = x.wires[c].up = false;
             connect(s, c);
@@ -522,7 +522,7 @@
         note("", "agent of %zu ends", s);
         for (size_t c = 0; c < kCores; ++c) closeWire(s, c, true), x.wires[c].trying = false;
         x.term = 0, x.holder = -1, x.toldTerm = 0, x.toldLinked = false;
-        x.dispatch->unlinked();
+        x.dispatch->onPlannerDisconnected();
         drain(s);
         at(millis(100 + below(1500)), [this, s, life = x.life] {
             inSender(s, life, [this, s](Sender& y) {
@@ -556,7 +556,7 @@
         const bool linked = x.holder >= 0 && x.wires[static_cast<size_t>(x.holder)].up;
         if (x.toldTerm == x.term && x.toldLinked == linked) return;
         x.toldTerm = x.term, x.toldLinked = linked;
-        x.dispatch->standing(now(), x.term, linked, static_cast<uint32_t>(senders_.size()));
+        x.dispatch->updatePlannerStatus(now(), x.term, linked, static_cast<uint32_t>(senders_.size()));
         x.grantTerm = std::max(x.grantTerm, x.term);
         drain(s);
     }
@@ -569,20 +569,20 @@
             x.grantTerm = std::max(x.grantTerm, plan_.defect == Defect::noFence ? 0 : grants.term);
             for (const auto& g : grants.grants) x.may[g.instance] = g.slots, settle(g.instance);
         }
-        x.dispatch->granted(now(), grants);
+        x.dispatch->applyGrants(now(), grants);
     }
     void drain(size_t s) {
         Sender& x = senders_[s];
         if (!x.dispatch) return;
         while (auto o = x.dispatch->next()) {
-            if (auto* to = std::get_if<SendTo>(&*o)) send(s, *to);
-            if (auto* p = std::get_if<Probe>(&*o)) probe(s, p->at);
-            if (auto* r = std::get_if<Refuse>(&*o)) {
+            if (auto* to = std::get_if<SendRequest>(&*o)) send(s, *to);
+            if (auto* p = std::get_if<ProbeInstance>(&*o)) probe(s, p->instance);
+            if (auto* r = std::get_if<RejectRequest>(&*o)) {
                 if (calm_) note("", "sender %zu refuses %lu of %s", s, r->id, asks_[r->id].service);
                 if (asks_[r->id].ran) fail("told that it has not run, but it has");
             }
-            if (std::get_if<PassOn>(&*o) && calm_) ++passedCalm_;
-            if (auto* t = std::get_if<Tell>(&*o)) report(s, std::move(t->report));
+            if (std::get_if<ForwardResponse>(&*o) && calm_) ++passedCalm_;
+            if (auto* t = std::get_if<SendReport>(&*o)) report(s, std::move(t->report));
         }
         const int64_t wake = std::max(now_ + 500, x.dispatch->wakeAt().inMicros());
         if (x.wakeSet > now_ && x.wakeSet <= wake) return;
@@ -618,33 +618,33 @@
             pull(c);
         });
     }
-    void probe(size_t s, InstanceIx ix) {
-        const InstanceView* v = senders_[s].dispatch->instance(ix);
+    void probe(size_t s, InstanceIndex ix) {
+        const InstanceInfo* v = senders_[s].dispatch->findInstance(ix);
         if (!v) return;
         at(1000 + below(15000), [this, s, ix, id = v->id, life = senders_[s].life] {
             auto m = machines_.find(id);
             const bool up = m != machines_.end() && m->second.goneAt < 0 && m->second.upAt <= now_;
             inSender(s, life, [this, ix, id, up](Sender& x) {
-                const InstanceView* still = x.dispatch->instance(ix);
-                if (still && still->id == id) x.dispatch->probed(now(), ix, up);
+                const InstanceInfo* still = x.dispatch->findInstance(ix);
+                if (still && still->id == id) x.dispatch->onProbeResult(now(), ix, up);
             });
         });
     }
-    void send(size_t s, const SendTo& to) {
+    void send(size_t s, const SendRequest& to) {
         Sender& x = senders_[s];
-        const InstanceView* v = x.dispatch->instance(to.at);
+        const InstanceInfo* v = x.dispatch->findInstance(to.instance);
         if (!v) return fail("sent nowhere");
         const uint64_t id = ++callsMade_;
         calls_[id] = {s, x.life, to.id, v->id};
         ++x.busy[v->id];
         const Ask& ask = asks_[to.id];
-        const Instant gaveUp = to.patience > Span() ? now() + to.patience : ask.deadline;
+        const Instant gaveUp = to.attemptTimeout > Span() ? now() + to.attemptTimeout : ask.deadline;
         at(std::max<int64_t>(1, gaveUp.inMicros() - now_), [this, id] {
             auto found = calls_.find(id);
             if (found == calls_.end() || found->second.over) return;
             if (now_ < senders_[found->second.sender].frozenUntil) return;  // not while it sleeps
             leaveInstance(id);
-            endCall(id, Ending::silent, 0);
+            endCall(id, AttemptOutcome::timedOut, 0);
         });
         at(500 + below(8000), [this, id] { arrive(id); });
     }
@@ -654,13 +654,13 @@
         const Call call = found->second;
         auto m = machines_.find(call.at);
         if (m == machines_.end() || m->second.goneAt >= 0 || m->second.upAt > now_)
-            return endCall(id, Ending::unconnected, 500 + below(8000));
+            return endCall(id, AttemptOutcome::connectFailed, 500 + below(8000));
         Machine& machine = m->second;
         if (static_cast<int>(machine.inUse.size()) >= machine.service->slots) {
             ++full_;
             note(call.at, "call %lu of %zu is turned away", id, call.sender);
             if (calm_ || !excused(call.at)) fail(call.at + " was sent more than its slots");
-            return endCall(id, Ending::notRun, 500 + below(8000));
+            return endCall(id, AttemptOutcome::notExecuted, 500 + below(8000));
         }
         Ask& ask = asks_[call.request];
         if (ask.onceOnly && ask.ran) fail("a once-only request ran twice");
@@ -675,9 +675,9 @@
             if (lost) return;
             const bool bad = chance(trouble_ * 0.1);
             endCall(id,
-                    !bad          ? Ending::passed
-                    : chance(0.5) ? Ending::failed
-                                  : Ending::broken,
+                    !bad          ? AttemptOutcome::answered
+                    : chance(0.5) ? AttemptOutcome::serverError
+                                  : AttemptOutcome::connectionBroken,
                     500 + below(8000));
         });
     }
@@ -688,7 +688,7 @@
         if (m != machines_.end() && m->second.inUse.erase(id) > 0)
             note(found->second.at, "call %lu of %zu done", id, found->second.sender);
     }
-    void endCall(uint64_t id, Ending how, int64_t delay) {
+    void endCall(uint64_t id, AttemptOutcome how, int64_t delay) {
         at(delay, [this, id, how] {
             auto found = calls_.find(id);
             if (found == calls_.end() || found->second.over) return;
@@ -698,7 +698,7 @@
                 if (still == calls_.end() || still->second.over) return;
                 calls_.erase(still);
                 --x.busy[call.at];
-                x.dispatch->ended(now(), call.request, how);
+                x.dispatch->onAttemptEnded(now(), call.request, how);
                 settle(call.at);
             });
         });
@@ -709,19 +709,19 @@
             const RequestId id = ++requests_;
             static constexpr int kTimes[] = {400, 1000, 3000};
             const Span left = Span::millis(calm_ ? 3000 : kTimes[below(3)]);
-            Arrival a{id,
-                      below(3) ? "f" : "g",
-                      below(2) == 0,
-                      static_cast<int>(below(3)),
-                      1 + static_cast<int>(below(3)),
-                      now() + left,
-                      Span::millis(400),
-                      left};
+            IncomingRequest a{id,
+                              below(3) ? "f" : "g",
+                              below(2) == 0,
+                              static_cast<int>(below(3)),
+                              1 + static_cast<int>(below(3)),
+                              now() + left,
+                              Span::millis(400),
+                              left};
             Ask& ask = asks_[id];
-            ask.onceOnly = !a.repeatable, ask.deadline = a.deadline;
+            ask.onceOnly = !a.isIdempotent, ask.deadline = a.deadline;
             ask.service = a.service == "f" ? "f" : "g";
             if (calm_) ++arrivedCalm_;
-            x.dispatch->arrived(now(), a);
+            x.dispatch->onRequest(now(), a);
             drain(s);
         }
         if (chance(0.02) && !calm_) x.rate = chance(0.3) ? 25 : 1 + static_cast<double>(below(8));
@@ -852,7 +852,7 @@
             for (auto& [id, call] : calls_)
                 if (call.sender == s && !call.over && asks_[call.request].deadline <= now())
                     late.push_back(id);
-            for (uint64_t id : late) leaveInstance(id), endCall(id, Ending::silent, 0);
+            for (uint64_t id : late) leaveInstance(id), endCall(id, AttemptOutcome::timedOut, 0);
         });
     }
     void moveDuty() {
