--- a/system/proxy/slots_sim_for_test.hpp
+++ b/system/proxy/slots_sim_for_test.hpp
@@ -30,60 +30,62 @@
 // Broken on purpose; each has to be found.
 enum class Defect : uint8_t {
     none,
-    givesBackEarly,  // a slot counts as given back while its call still runs
-    hastyHolder,     // a new holder does not wait for what the senders hold
-    noFence,         // grants of a lower term are taken
-    silentIsEnded,   // a sender that is merely silent counts as ended
+    returnsSlotsEarly,    // a slot counts as given back while its call still runs
+    grantsBeforeReports,  // a new holder does not wait for what the senders hold
+    acceptsStaleTerms,    // grants of a lower term are taken
+    treatsSilentAsEnded,  // a sender that is merely silent counts as ended
 };
 
-struct Plan {
+struct SimulationConfig {
     uint32_t seed = 1;
     Defect defect = Defect::none;
-    double seconds = 30;           // of faults; then all heals
-    const char* follow = nullptr;  // an instance of which all is printed
+    double seconds = 30;                   // of faults; then all heals
+    const char* tracedInstance = nullptr;  // an instance of which all is printed
 };
 
-class World : public simulation::Simulation {
+class SlotSimulation : public simulation::Simulation {
   public:
-    explicit World(Plan plan) : Simulation(plan.seed), plan_(plan) {
+    explicit SlotSimulation(SimulationConfig plan) : Simulation(plan.seed), config_(plan) {
         senders_.resize(3 + static_cast<size_t>(below(3)));
-        accounts_.resize(senders_.size());
-        listLag_ = Span::millis(200 + below(500));
+        senderStatuses_.resize(senders_.size());
+        listDelay_ = Span::millis(200 + below(500));
     }
 
     std::string run() {
-        for (size_t c = 0; c < kCores; ++c) at(0, [this, c] { beats(c); });
+        for (size_t c = 0; c < kCores; ++c) at(0, [this, c] { sendHeartbeats(c); });
         for (size_t s = 0; s < senders_.size(); ++s) {
             startSender(s);
-            at(millis(below(300)), [this, s] { client(s); });
+            at(millis(below(300)), [this, s] { generateRequests(s); });
         }
-        at(millis(100), [this] { elect(0); });
-        at(millis(2000), [this] { trouble(); });
-        const int64_t calm = millis(static_cast<int64_t>(plan_.seconds * 1000)), end = calm + millis(20000);
+        at(millis(100), [this] { electPlanner(0); });
+        at(millis(2000), [this] { injectFault(); });
+        const int64_t calm = millis(static_cast<int64_t>(config_.seconds * 1000)), end = calm + millis(20000);
         at(calm, [this] { heal(); });
         at(calm + millis(15000), [this] {
-            calm_ = true;
+            isCalm_ = true;
             for (Sender& x : senders_) x.rate = 5;
         });
-        at(end - millis(2000), [this] { open_ = false; });
+        at(end - millis(2000), [this] { areClientsActive_ = false; });
         runUntil(end);
         if (!broken_.empty()) return broken_;
-        if (arrivedCalm_ < 20 || passedCalm_ < arrivedCalm_ * 0.8)
-            return "seed " + std::to_string(plan_.seed) + ": " + std::to_string(passedCalm_) + " of " +
-                   std::to_string(arrivedCalm_) + " requests served after all has healed";
+        if (receivedWhileCalm_ < 20 || answeredWhileCalm_ < receivedWhileCalm_ * 0.8)
+            return "seed " + std::to_string(config_.seed) + ": " + std::to_string(answeredWhileCalm_) +
+                   " of " + std::to_string(receivedWhileCalm_) + " requests served after all has healed";
         return {};
     }
-    long ran() const { return ran_; }
-    long full() const { return full_; }  // turned away, all of them at instances that a stray used
-    long holders() const { return holders_; }
-    long strays() const { return strays_; }
+    long executedCount() const { return executedCount_; }
+    long rejectedCount() const {
+        return rejectedCount_;
+    }  // turned away, all of them at instances that a stray used
+    long electionCount() const { return electionCount_; }
+    long untrackedCount() const { return untrackedCount_; }
 
   private:
     static constexpr size_t kCores = 3;
     Instant now() const { return Instant::atMicros(now_); }
     template <class... Parts>
-    void note(const std::string& id, const char* form, Parts... parts) {
-        if (!plan_.follow || (!id.empty() && id != plan_.follow)) return;
+    void trace(const std::string& id, const char* form, Parts... parts) {
+        if (!config_.tracedInstance || (!id.empty() && id != config_.tracedInstance)) return;
         std::printf("%.6f ", static_cast<double>(now_) / 1e6);
         std::printf(form, parts...);
         std::printf("\n");
@@ -94,41 +96,41 @@
         int slots, boot, target;
     };
     static constexpr std::array<Service, 2> kServices{{{"f", 3, 400, 300}, {"g", 1, 300, 1500}}};
-    struct Machine {
+    struct SimulatedInstance {
         const Service* service = nullptr;
-        int64_t upAt = 0, goneAt = -1;
+        int64_t readyAt = 0, terminatedAt = -1;
         bool draining = false;
-        std::set<uint64_t> inUse;  // calls
+        std::set<uint64_t> runningCalls;  // calls
     };
     struct Call {
         size_t sender = 0;
-        int life = 0;
+        int senderIncarnation = 0;
         RequestId request = 0;
-        std::string at;
-        bool over = false;  // ended for its sender
+        std::string instance;
+        bool isFinished = false;  // ended for its sender
     };
     void startInstance(size_t c, int generation, const scaler::StartCall& s) {
         at(millis(5 + below(60)), [this, c, generation, s, term = cores_[c].term] {
             std::string id;
             int status = 200;
-            if (term < fence_)
+            if (term < fencingTerm_)
                 status = 403;  // the platform's fence
-            else if (chance(trouble_ * 0.1))
+            else if (chance(faultRate_ * 0.1))
                 status = 409;
-            auto before = byNonce_.find(s.nonce);
-            if (status == 200 && before != byNonce_.end()) id = before->second;
+            auto before = instanceByNonce_.find(s.nonce);
+            if (status == 200 && before != instanceByNonce_.end()) id = before->second;
             if (status == 200 && id.empty()) {
-                id = "i" + std::to_string(++made_);
-                byNonce_[s.nonce] = id;
-                Machine& m = machines_[id];
+                id = "i" + std::to_string(++createdInstances_);
+                instanceByNonce_[s.nonce] = id;
+                SimulatedInstance& m = instances_[id];
                 for (const Service& each : kServices)
                     if (each.name == s.service) m.service = &each;
                 if (!m.service) return fail("a start of a service that nobody has");
-                m.upAt = now_ + millis(m.service->boot * (70 + below(60)) / 100);
+                m.readyAt = now_ + millis(m.service->boot * (70 + below(60)) / 100);
             }
-            if (chance(trouble_ * 0.1)) status = 0;  // no answer, though it may have happened
+            if (chance(faultRate_ * 0.1)) status = 0;  // no answer, though it may have happened
             at(millis(5 + below(60)), [this, c, generation, s, id, status] {
-                toPlanner(c, generation, [s, id, status](scaler::Planner& p, Instant now) {
+                callPlanner(c, generation, [s, id, status](scaler::Planner& p, Instant now) {
                     if (status == 200)
                         p.started(now, s.nonce, id, "x:" + id);
                     else
@@ -138,79 +140,84 @@
         });
     }
     void stopInstance(size_t c, int generation, const std::string& id) {
-        note(id, "core %zu term %lu asks for its stop", c, cores_[c].term);
-        at(millis(5 + below(60)), [this, c, generation, id, term = cores_[c].term, free = excused(id)] {
-            if (term < fence_) return;
-            auto m = machines_.find(id);
-            if (m != machines_.end() && m->second.goneAt < 0) {
-                if (!m->second.inUse.empty() && !free && !excused(id)) fail("stopped " + id + " at work");
-                vanish(id);
-            }
-            at(millis(5 + below(60)), [this, c, generation, id] {
-                toPlanner(c, generation, [id](scaler::Planner& p, Instant now) { p.stopped(now, id, 200); });
-            });
-        });
-    }
-    void vanish(const std::string& id) {
-        Machine& m = machines_[id];
-        if (m.goneAt >= 0) return;
-        m.goneAt = now_;
-        const std::set<uint64_t> all = std::move(m.inUse);
-        m.inUse.clear();
+        trace(id, "core %zu term %lu asks for its stop", c, cores_[c].term);
+        at(millis(5 + below(60)),
+           [this, c, generation, id, term = cores_[c].term, free = isExcessAllowed(id)] {
+               if (term < fencingTerm_) return;
+               auto m = instances_.find(id);
+               if (m != instances_.end() && m->second.terminatedAt < 0) {
+                   if (!m->second.runningCalls.empty() && !free && !isExcessAllowed(id))
+                       fail("stopped " + id + " at work");
+                   terminateInstance(id);
+               }
+               at(millis(5 + below(60)), [this, c, generation, id] {
+                   callPlanner(c, generation,
+                               [id](scaler::Planner& p, Instant now) { p.stopped(now, id, 200); });
+               });
+           });
+    }
+    void terminateInstance(const std::string& id) {
+        SimulatedInstance& m = instances_[id];
+        if (m.terminatedAt >= 0) return;
+        m.terminatedAt = now_;
+        const std::set<uint64_t> all = std::move(m.runningCalls);
+        m.runningCalls.clear();
         for (uint64_t call : all) endCall(call, AttemptOutcome::connectionBroken, millis(1 + below(10)));
     }
-    void list(size_t c, int generation) {
+    void pollInstanceList(size_t c, int generation) {
         if (cores_[c].generation != generation || !cores_[c].planner) return;
         std::vector<scaler::Listed> all;
-        for (auto& [id, m] : machines_) {
-            const bool listed =
-                m.goneAt < 0 ? m.upAt <= now_ : now_ < m.goneAt + millis(m.draining ? 0 : 2000);
+        for (auto& [id, m] : instances_) {
+            const bool listed = m.terminatedAt < 0 ? m.readyAt <= now_
+                                                   : now_ < m.terminatedAt + millis(m.draining ? 0 : 2000);
             if (listed)
                 all.push_back({id, m.service->name, "x:" + id, "a", "w1", m.service->slots, m.draining});
         }
-        at(below(listLag_.inMicros()), [this, c, generation, all] {
-            toPlanner(c, generation, [all](scaler::Planner& p, Instant now) { p.listed(now, all); });
+        at(below(listDelay_.inMicros()), [this, c, generation, all] {
+            callPlanner(c, generation, [all](scaler::Planner& p, Instant now) { p.listed(now, all); });
         });
-        at(millis(600), [this, c, generation] { list(c, generation); });
+        at(millis(600), [this, c, generation] { pollInstanceList(c, generation); });
     }
 
     // ---- cores and the duty
     struct Core {
         std::unique_ptr<scaler::Planner> planner;
-        int generation = 0, life = 0;
-        bool up = true;
+        int generation = 0, incarnation = 0;
+        bool isUp = true;
         uint64_t term = 0;  // of its planner
         uint64_t knownTerm = 0;
-        int knownHolder = -1;
-        int64_t frozenUntil = 0, wakeSet = -1;
-        std::map<size_t, int> guests;  // sender: epoch of its link
-        std::map<size_t, int> guestLife;
-        std::map<size_t, int64_t> heardAt;
-        bool granted = false, losing = false;  // losing: somebody else will be voted for
-        std::set<size_t> knows;                // senders that told its planner all that they hold
+        int knownPlanner = -1;
+        int64_t frozenUntil = 0, wakeScheduledFor = -1;
+        std::map<size_t, int> linkedSenders;  // sender: epoch of its link
+        std::map<size_t, int> agentIncarnations;
+        std::map<size_t, int64_t> lastHeardAt;
+        bool hasGranted = false, isBeingReplaced = false;  // losing: somebody else will be voted for
+        std::set<size_t> syncedSenders;                    // senders that told its planner all that they hold
     };
     // How the planner of the present holder stands to a sender.
-    struct Account {
-        bool linked = false, synced = false;
-        int64_t freeAt = -1;  // when it counts as gone
-        bool ended = false;   // its slots are only kept for a moment, whether it is linked again or not
+    struct SenderStatus {
+        bool isLinked = false, isSynced = false;
+        int64_t expiresAt = -1;  // when it counts as gone
+        bool hasEnded = false;   // its slots are only kept for a moment, whether it is linked again or not
     };
-    void inCore(size_t c, int life, std::function<void(Core&)> f) {
+    void runInCore(size_t c, int life, std::function<void(Core&)> f) {
         Core& core = cores_[c];
-        if (core.life != life || !core.up) return;
+        if (core.incarnation != life || !core.isUp) return;
         if (now_ < core.frozenUntil)
-            return at(core.frozenUntil - now_, [this, c, life, f = std::move(f)] { inCore(c, life, f); });
+            return at(core.frozenUntil - now_, [this, c, life, f = std::move(f)] { runInCore(c, life, f); });
         f(core);
     }
-    void toPlanner(size_t c, int generation, std::function<void(scaler::Planner&, Instant)> f) {
-        inCore(c, cores_[c].life, [this, c, generation, f = std::move(f)](Core& core) {
+    void callPlanner(size_t c, int generation, std::function<void(scaler::Planner&, Instant)> f) {
+        runInCore(c, cores_[c].incarnation, [this, c, generation, f = std::move(f)](Core& core) {
             if (!core.planner || core.generation != generation) return;
             f(*core.planner, now());
-            pull(c);
+            drainPlanner(c);
         });
     }
-    bool holds(size_t c) const { return static_cast<int>(c) == holder_ && cores_[c].term == term_; }
-    void pull(size_t c) {
+    bool isActivePlanner(size_t c) const {
+        return static_cast<int>(c) == planner_ && cores_[c].term == term_;
+    }
+    void drainPlanner(size_t c) {
         Core& core = cores_[c];
         if (!core.planner) return;
         while (auto o = core.planner->next()) {
@@ -220,224 +227,235 @@
                 const size_t s = static_cast<size_t>(std::stoi(t->to));
                 bool gives = false;
                 for (const auto& g : t->grants.grants) gives |= g.slots > 0;
-                if (gives && !core.granted) {
-                    core.granted = true;  // it has listened: whom it has not heard by now it does not know
+                if (gives && !core.hasGranted) {
+                    core.hasGranted = true;  // it has listened: whom it has not heard by now it does not know
                     for (size_t k = 0; k < senders_.size(); ++k)
-                        if (!core.knows.count(k)) goStray(k);
+                        if (!core.syncedSenders.count(k)) markUntracked(k);
                 }
                 for (const auto& g : t->grants.grants)
-                    note(g.instance, "core %zu term %lu tells %zu: %u", c, core.term, s, g.slots);
+                    trace(g.instance, "core %zu term %lu tells %zu: %u", c, core.term, s, g.slots);
                 for (const auto& g : t->grants.grants)
-                    if (holds(c)) senders_[s].told[g.instance] = g.slots;
-                if (holds(c) && senders_[s].toldAt < 0) senders_[s].toldAt = now_;
-                if (core.guests.count(s)) sendDown(c, s, core.guests[s], {0, -1, t->grants, true});
+                    if (isActivePlanner(c)) senders_[s].lastTold[g.instance] = g.slots;
+                if (isActivePlanner(c) && senders_[s].unansweredSince < 0) senders_[s].unansweredSince = now_;
+                if (core.linkedSenders.count(s))
+                    sendDown(c, s, core.linkedSenders[s], {0, -1, t->grants, true});
             }
         }
         const int64_t wake = std::max(now_ + millis(2), core.planner->wakeAt().inMicros());
-        if (core.wakeSet > now_ && core.wakeSet <= wake) return;
-        core.wakeSet = wake;
+        if (core.wakeScheduledFor > now_ && core.wakeScheduledFor <= wake) return;
+        core.wakeScheduledFor = wake;
         at(wake - now_, [this, c, generation = core.generation, wake] {
-            if (cores_[c].wakeSet != wake) return;
-            toPlanner(c, generation, [this, c](scaler::Planner& p, Instant now) {
-                cores_[c].wakeSet = -1;
+            if (cores_[c].wakeScheduledFor != wake) return;
+            callPlanner(c, generation, [this, c](scaler::Planner& p, Instant now) {
+                cores_[c].wakeScheduledFor = -1;
                 p.tick(now);
             });
         });
     }
-    void elect(size_t c) {
+    void electPlanner(size_t c) {
         Core& core = cores_[c];
-        if (!core.up || now_ < core.frozenUntil) return at(millis(50), [this] { elect(anyCore()); });
+        if (!core.isUp || now_ < core.frozenUntil) return at(millis(50), [this] { electPlanner(anyCore()); });
         term_ += 1 + static_cast<uint64_t>(below(3));
-        fence_ = term_, holder_ = static_cast<int>(c);
-        ++holders_;
-        for (Account& a : accounts_) a = {};
-        for (size_t s = 0; s < senders_.size(); ++s) answered(s);
-        core.planner = std::make_unique<scaler::Planner>(now(), term_, random_(), 150, listLag_);
-        core.term = term_, core.granted = core.losing = false, core.wakeSet = -1;
-        core.knows.clear();
+        fencingTerm_ = term_, planner_ = static_cast<int>(c);
+        ++electionCount_;
+        for (SenderStatus& a : senderStatuses_) a = {};
+        for (size_t s = 0; s < senders_.size(); ++s) onSenderAnswered(s);
+        core.planner = std::make_unique<scaler::Planner>(now(), term_, random_(), 150, listDelay_);
+        core.term = term_, core.hasGranted = core.isBeingReplaced = false, core.wakeScheduledFor = -1;
+        core.syncedSenders.clear();
         const int generation = ++core.generation;
         std::vector<scaler::FunctionSpec> specs;
         for (const Service& s : kServices)
             specs.push_back({s.name, 128, Span::millis(s.boot), s.slots, Span::millis(s.target)});
         core.planner->configured(now(), specs);
         core.planner->workers(now(), {{"w1", "a", 9000, 9000, false}, {"w2", "b", 9000, 9000, false}});
-        for (auto& [s, epoch] : core.guests) link(c, s);
-        list(c, generation);
-        pull(c);
-        note("", "core %zu elected, term %lu", c, term_);
-        tellDuty();
-    }
-    void renew() {
-        if (holder_ < 0) return;
-        const auto c = static_cast<size_t>(holder_);
-        if (!holds(c) || now_ < cores_[c].frozenUntil) return;
-        fence_ = ++term_, cores_[c].term = term_;
-        note("", "core %zu renewed, term %lu", c, term_);
-        for (Account& a : accounts_) a.synced = false;
+        for (auto& [s, epoch] : core.linkedSenders) linkSender(c, s);
+        pollInstanceList(c, generation);
+        drainPlanner(c);
+        trace("", "core %zu elected, term %lu", c, term_);
+        announcePlanner();
+    }
+    void renewTerm() {
+        if (planner_ < 0) return;
+        const auto c = static_cast<size_t>(planner_);
+        if (!isActivePlanner(c) || now_ < cores_[c].frozenUntil) return;
+        fencingTerm_ = ++term_, cores_[c].term = term_;
+        trace("", "core %zu renewed, term %lu", c, term_);
+        for (SenderStatus& a : senderStatuses_) a.isSynced = false;
         cores_[c].planner->renewed(now(), term_);
-        pull(c);
-        tellDuty();
+        drainPlanner(c);
+        announcePlanner();
     }
-    void tellDuty() {
+    void announcePlanner() {
         const uint64_t term = term_;
-        const int holder = holder_;
+        const int holder = planner_;
         for (size_t k = 0; k < kCores; ++k) {
             auto learn = [this, k, term, holder](Core& core) {
                 if (term < core.knownTerm) return;
-                core.knownTerm = term, core.knownHolder = holder;
-                for (auto& [s, epoch] : core.guests) sendDown(k, s, epoch, {term, holder, {}, false});
+                core.knownTerm = term, core.knownPlanner = holder;
+                for (auto& [s, epoch] : core.linkedSenders) sendDown(k, s, epoch, {term, holder, {}, false});
             };
             if (static_cast<int>(k) == holder)
                 learn(cores_[k]);
             else
-                at(millis(below(200)), [this, k, life = cores_[k].life, learn] { inCore(k, life, learn); });
+                at(millis(below(200)),
+                   [this, k, life = cores_[k].incarnation, learn] { runInCore(k, life, learn); });
         }
     }
-    void beats(size_t c) {  // and the core's own turn: silent agents
-        inCore(c, cores_[c].life, [this, c](Core& core) {
-            for (auto& [s, epoch] : core.guests)
-                sendDown(c, s, epoch, {core.knownTerm, core.knownHolder, {}, false});
+    void sendHeartbeats(size_t c) {  // and the core's own turn: silent agents
+        runInCore(c, cores_[c].incarnation, [this, c](Core& core) {
+            for (auto& [s, epoch] : core.linkedSenders)
+                sendDown(c, s, epoch, {core.knownTerm, core.knownPlanner, {}, false});
             std::vector<size_t> silent;
-            for (auto& [s, epoch] : core.guests)
-                if (now_ - core.heardAt[s] > millis(3000)) silent.push_back(s);
-            for (size_t s : silent) guestGone(c, s, false);
+            for (auto& [s, epoch] : core.linkedSenders)
+                if (now_ - core.lastHeardAt[s] > millis(3000)) silent.push_back(s);
+            for (size_t s : silent) unlinkSender(c, s, false);
         });
-        at(millis(250), [this, c] { beats(c); });
+        at(millis(250), [this, c] { sendHeartbeats(c); });
     }
-    void endDuty(size_t c) {  // it learns that it holds no more
+    void stopPlanner(size_t c) {  // it learns that it holds no more
         Core& core = cores_[c];
         core.planner.reset();
         ++core.generation;
     }
-    void link(size_t c, size_t s) {
+    void linkSender(size_t c, size_t s) {
         Core& core = cores_[c];
         if (!core.planner) return;
         const scaler::SenderId id = std::to_string(s);
-        note("", "core %zu: sender %zu linked", c, s);
+        trace("", "core %zu: sender %zu linked", c, s);
         core.planner->linked(now(), id, s % 2 ? "a" : "b");
-        if (holds(c)) {
-            answered(s);
-            accounts_[s].linked = true, accounts_[s].synced = false;
-            if (accounts_[s].freeAt >= 0 && !accounts_[s].ended) accounts_[s].freeAt = -1;
+        if (isActivePlanner(c)) {
+            onSenderAnswered(s);
+            senderStatuses_[s].isLinked = true, senderStatuses_[s].isSynced = false;
+            if (senderStatuses_[s].expiresAt >= 0 && !senderStatuses_[s].hasEnded)
+                senderStatuses_[s].expiresAt = -1;
         }
-        if (plan_.defect == Defect::hastyHolder) {
+        if (config_.defect == Defect::grantsBeforeReports) {
             scaler::Report r;
             r.term = core.term, r.whole = true;
-            if (holds(c)) accounts_[s].synced = true;
-            core.knows.insert(s);
+            if (isActivePlanner(c)) senderStatuses_[s].isSynced = true;
+            core.syncedSenders.insert(s);
             core.planner->reported(now(), id, r);
         }
-        pull(c);
+        drainPlanner(c);
     }
-    void guestGone(size_t c, size_t s, bool closed) {
+    void unlinkSender(size_t c, size_t s, bool closed) {
         Core& core = cores_[c];
-        core.guests.erase(s);
-        note("", "core %zu: sender %zu gone%s", c, s, closed ? ", closed" : "");
+        core.linkedSenders.erase(s);
+        trace("", "core %zu: sender %zu gone%s", c, s, closed ? ", closed" : "");
         if (!core.planner) return;
-        const bool told = closed || plan_.defect == Defect::silentIsEnded;
+        const bool told = closed || config_.defect == Defect::treatsSilentAsEnded;
         core.planner->unlinked(now(), std::to_string(s), told);
-        if (holds(c) && (accounts_[s].linked || closed)) {
-            accounts_[s].linked = accounts_[s].synced = false;
+        if (isActivePlanner(c) && (senderStatuses_[s].isLinked || closed)) {
+            senderStatuses_[s].isLinked = senderStatuses_[s].isSynced = false;
             const int64_t until = now_ + (closed ? millis(300) : millis(5000));
-            accounts_[s].freeAt = until, accounts_[s].ended = closed;
-            at(until - now_, [this, s, until, which = holders_] {
-                if (which == holders_ && accounts_[s].freeAt == until && !accounts_[s].synced) goStray(s);
+            senderStatuses_[s].expiresAt = until, senderStatuses_[s].hasEnded = closed;
+            at(until - now_, [this, s, until, which = electionCount_] {
+                if (which == electionCount_ && senderStatuses_[s].expiresAt == until &&
+                    !senderStatuses_[s].isSynced)
+                    markUntracked(s);
             });
         }
-        pull(c);
+        drainPlanner(c);
     }
 
     // ---- links. Each is ordered; a cut delays what is under way, and ends it once a side gives the link up.
-    struct Word {  // of a core
+    struct DownMessage {  // of a core
         uint64_t term = 0;
         int holder = -1;
         scaler::Grants grants;
         bool isGrants = false;
     };
-    struct Wire {
+    struct SimulatedLink {
         int epoch = 0;
-        bool up = false, trying = false;
-        int64_t cutUp = 0, cutDown = 0;  // until when
-        int64_t lastUp = 0, lastDown = 0, heardAt = 0, pause = 100000;
+        bool isUp = false, isConnecting = false;
+        int64_t upCutUntil = 0, downCutUntil = 0;  // until when
+        int64_t lastUpArrival = 0, lastDownArrival = 0, lastHeardAt = 0, reconnectDelay = 100000;
     };
-    int64_t arrival(int64_t& last, int64_t cut) {
+    int64_t nextArrivalDelay(int64_t& last, int64_t cut) {
         const int64_t delay = 500 + below(chance(0.05) ? 80000 : 8000);
         last = std::max({last + 1, now_ + delay, cut > now_ ? cut + delay : 0});
         return last - now_;
     }
-    void sendDown(size_t c, size_t s, int epoch, Word word) {
-        Wire& w = senders_[s].wires[c];
-        if (plan_.defect == Defect::noFence && word.isGrants) word.grants.term = 1u << 30;
-        const int life = senders_[s].life;
-        at(arrival(w.lastDown, w.cutDown), [this, c, s, epoch, life, word = std::move(word)] {
-            inSender(s, life, [this, c, s, epoch, word](Sender& x) {
-                Wire& wire = x.wires[c];
-                if (!wire.up || wire.epoch != epoch) return;
-                wire.heardAt = now_;
-                if (!word.isGrants) return heardDuty(s, word.term, word.holder);
-                if (static_cast<int>(c) == x.holder || plan_.defect == Defect::noFence) take(s, word.grants);
-            });
-        });
+    void sendDown(size_t c, size_t s, int epoch, DownMessage word) {
+        SimulatedLink& w = senders_[s].links[c];
+        if (config_.defect == Defect::acceptsStaleTerms && word.isGrants) word.grants.term = 1u << 30;
+        const int life = senders_[s].incarnation;
+        at(nextArrivalDelay(w.lastDownArrival, w.downCutUntil),
+           [this, c, s, epoch, life, word = std::move(word)] {
+               runInSender(s, life, [this, c, s, epoch, word](Sender& x) {
+                   SimulatedLink& wire = x.links[c];
+                   if (!wire.isUp || wire.epoch != epoch) return;
+                   wire.lastHeardAt = now_;
+                   if (!word.isGrants) return onPlannerAnnounced(s, word.term, word.holder);
+                   if (static_cast<int>(c) == x.planner || config_.defect == Defect::acceptsStaleTerms)
+                       applyGrants(s, word.grants);
+               });
+           });
     }
     void sendUp(size_t s, size_t c, std::function<void(Core&)> f) {
-        Wire& w = senders_[s].wires[c];
-        const int epoch = w.epoch, life = cores_[c].life;
-        at(arrival(w.lastUp, w.cutUp), [this, s, c, epoch, life, f = std::move(f)] {
-            inCore(c, life, [s, epoch, f, this](Core& core) {
-                auto g = core.guests.find(s);
-                if (g == core.guests.end() || g->second != epoch) return;
-                core.heardAt[s] = now_;
+        SimulatedLink& w = senders_[s].links[c];
+        const int epoch = w.epoch, life = cores_[c].incarnation;
+        at(nextArrivalDelay(w.lastUpArrival, w.upCutUntil), [this, s, c, epoch, life, f = std::move(f)] {
+            runInCore(c, life, [s, epoch, f, this](Core& core) {
+                auto g = core.linkedSenders.find(s);
+                if (g == core.linkedSenders.end() || g->second != epoch) return;
+                core.lastHeardAt[s] = now_;
                 f(core);
             });
         });
     }
     void connect(size_t s, size_t c) {
-        Wire& w = senders_[s].wires[c];
-        if (w.up || w.trying || !senders_[s].agentUp) return;
-        w.trying = true;
-        const int64_t pause = w.pause;
-        w.pause = std::min<int64_t>(w.pause * 2, millis(400));
-        const bool through = now_ >= w.cutUp && now_ >= w.cutDown && cores_[c].up;
-        const int life = senders_[s].life, agentLife = senders_[s].agentLife;
+        SimulatedLink& w = senders_[s].links[c];
+        if (w.isUp || w.isConnecting || !senders_[s].isAgentUp) return;
+        w.isConnecting = true;
+        const int64_t pause = w.reconnectDelay;
+        w.reconnectDelay = std::min<int64_t>(w.reconnectDelay * 2, millis(400));
+        const bool through = now_ >= w.upCutUntil && now_ >= w.downCutUntil && cores_[c].isUp;
+        const int life = senders_[s].incarnation, agentLife = senders_[s].agentIncarnation;
         if (!through) {
             return at(std::max(pause, millis(240)), [this, s, c, life, agentLife] {
-                if (senders_[s].life != life || senders_[s].agentLife != agentLife) return;
-                senders_[s].wires[c].trying = false;
-                inSender(s, life, [this, s, c](Sender&) { connect(s, c); });
+                if (senders_[s].incarnation != life || senders_[s].agentIncarnation != agentLife) return;
+                senders_[s].links[c].isConnecting = false;
+                runInSender(s, life, [this, s, c](Sender&) { connect(s, c); });
             });
         }
         at(1000 + below(16000), [this, s, c, life, agentLife] {
-            inSender(s, life, [this, s, c, agentLife](Sender& x) {
-                if (x.agentLife != agentLife || !x.agentUp) return;
-                Wire& wire = x.wires[c];
-                wire.trying = false, wire.up = true, wire.heardAt = now_, wire.pause = millis(100);
-                const int epoch = ++epochs_;
+            runInSender(s, life, [this, s, c, agentLife](Sender& x) {
+                if (x.agentIncarnation != agentLife || !x.isAgentUp) return;
+                SimulatedLink& wire = x.links[c];
+                wire.isConnecting = false, wire.isUp = true, wire.lastHeardAt = now_,
+                wire.reconnectDelay = millis(100);
+                const int epoch = ++lastEpoch_;
                 wire.epoch = epoch;
-                at(arrival(wire.lastUp, wire.cutUp),
-                   [this, s, c, epoch, agent = x.agentLife, life = cores_[c].life] {
-                       inCore(c, life, [this, s, c, epoch, agent](Core& core) {
-                           if (core.guests.count(s)) guestGone(c, s, core.guestLife[s] != agent);
-                           core.guests[s] = epoch, core.guestLife[s] = agent, core.heardAt[s] = now_;
-                           link(c, s);
-                           sendDown(c, s, epoch, {core.knownTerm, core.knownHolder, {}, false});
+                at(nextArrivalDelay(wire.lastUpArrival, wire.upCutUntil),
+                   [this, s, c, epoch, agent = x.agentIncarnation, life = cores_[c].incarnation] {
+                       runInCore(c, life, [this, s, c, epoch, agent](Core& core) {
+                           if (core.linkedSenders.count(s))
+                               unlinkSender(c, s, core.agentIncarnations[s] != agent);
+                           core.linkedSenders[s] = epoch, core.agentIncarnations[s] = agent,
+                           core.lastHeardAt[s] = now_;
+                           linkSender(c, s);
+                           sendDown(c, s, epoch, {core.knownTerm, core.knownPlanner, {}, false});
                        });
                    });
-                stand(s);
+                updateDispatchStatus(s);
             });
         });
     }
     // The agent gives the link up, or its end is seen. Its last packet, if any, tells the core.
-    void closeWire(size_t s, size_t c, bool tell) {
-        Wire& w = senders_[s].wires[c];
-        if (!w.up) return;
-        note("", "sender %zu closes to %zu, up cut %ld down cut %ld", s, c, w.cutUp - now_, w.cutDown - now_);
-        w.up = false;
-        const int epoch = w.epoch, life = cores_[c].life;
+    void closeLink(size_t s, size_t c, bool tell) {
+        SimulatedLink& w = senders_[s].links[c];
+        if (!w.isUp) return;
+        trace("", "sender %zu closes to %zu, up cut %ld down cut %ld", s, c, w.upCutUntil - now_,
+              w.downCutUntil - now_);
+        w.isUp = false;
+        const int epoch = w.epoch, life = cores_[c].incarnation;
         if (tell) {
-            at(arrival(w.lastUp, w.cutUp), [this, s, c, epoch, life] {
-                inCore(c, life, [this, s, c, epoch](Core& core) {
-                    auto g = core.guests.find(s);
-                    if (g != core.guests.end() && g->second == epoch) guestGone(c, s, true);
+            at(nextArrivalDelay(w.lastUpArrival, w.upCutUntil), [this, s, c, epoch, life] {
+                runInCore(c, life, [this, s, c, epoch](Core& core) {
+                    auto g = core.linkedSenders.find(s);
+                    if (g != core.linkedSenders.end() && g->second == epoch) unlinkSender(c, s, true);
                 });
             });
         }
@@ -446,40 +464,42 @@
     // ---- senders: agent and proxy
     struct Sender {
         std::unique_ptr<Dispatch> dispatch;
-        int life = 0, agentLife = 0;
-        bool agentUp = true;
-        int64_t frozenUntil = 0, wakeSet = -1;
+        int incarnation = 0, agentIncarnation = 0;
+        bool isAgentUp = true;
+        int64_t frozenUntil = 0, wakeScheduledFor = -1;
         uint64_t term = 0;
-        int holder = -1;
-        uint64_t toldTerm = 0;
-        bool toldLinked = false;
+        int planner = -1;
+        uint64_t reportedTerm = 0;
+        bool reportedLinked = false;
         uint64_t grantTerm = 0;
-        std::array<Wire, kCores> wires;
-        std::map<std::string, uint32_t> may, told, busy;  // as granted, as told last by the holder; calls out
-        bool stray = false;
-        std::set<std::string> lent;  // instances where it was late to give back
-        int64_t toldAt = -1;         // since when the holder has told it something and had no word of its
+        std::array<SimulatedLink, kCores> links;
+        std::map<std::string, uint32_t> granted, lastTold,
+            inFlight;  // as granted, as told last by the holder; calls out
+        bool isUntracked = false;
+        std::set<std::string> reassignable;  // instances where it was late to give back
+        int64_t unansweredSince = -1;  // since when the holder has told it something and had no word of its
         double rate = 5;
     };
-    struct Ask {
-        bool onceOnly = false, ran = false;
+    struct RequestRecord {
+        bool isNonIdempotent = false, hasExecuted = false;
         const char* service = "";
         Instant deadline;
     };
-    void inSender(size_t s, int life, std::function<void(Sender&)> f) {
+    void runInSender(size_t s, int life, std::function<void(Sender&)> f) {
         Sender& x = senders_[s];
-        if (x.life != life || !x.dispatch) return;
+        if (x.incarnation != life || !x.dispatch) return;
         if (now_ < x.frozenUntil)
-            return at(x.frozenUntil - now_, [this, s, life, f = std::move(f)] { inSender(s, life, f); });
+            return at(x.frozenUntil - now_, [this, s, life, f = std::move(f)] { runInSender(s, life, f); });
         f(x);
-        drain(s);
+        drainDispatch(s);
     }
     void startSender(size_t s) {
         Sender& x = senders_[s];
-        ++x.life, x.agentLife = ++agentLives_;
-        x.agentUp = true, x.frozenUntil = 0, x.wakeSet = -1;
-        x.term = x.toldTerm = x.grantTerm = 0, x.holder = -1, x.toldLinked = false;
-        x.may.clear(), x.told.clear(), x.busy.clear(), x.lent.clear(), x.stray = false, x.toldAt = -1;
+        ++x.incarnation, x.agentIncarnation = ++lastAgentIncarnation_;
+        x.isAgentUp = true, x.frozenUntil = 0, x.wakeScheduledFor = -1;
+        x.term = x.reportedTerm = x.grantTerm = 0, x.planner = -1, x.reportedLinked = false;
+        x.granted.clear(), x.lastTold.clear(), x.inFlight.clear(), x.reassignable.clear(),
+            x.isUntracked = false, x.unansweredSince = -1;
         Dispatch::Options o;
         o.seed = random_(), o.zone = s % 2 ? "a" : "b";
         x.dispatch = std::make_unique<Dispatch>(now(), o);
@@ -488,192 +508,201 @@
             specs.push_back({each.name, each.slots, Span::millis(each.boot)});
         x.dispatch->updateServices(now(), specs);
         for (size_t c = 0; c < kCores; ++c) {
-            x.wires[c].trying = x.wires[c].up = false;
+            x.links[c].isConnecting = x.links[c].isUp = false;
             connect(s, c);
         }
-        agentTurn(s, x.life);
-        drain(s);
+        runAgentTimer(s, x.incarnation);
+        drainDispatch(s);
     }
     void killSender(size_t s, bool power) {
         Sender& x = senders_[s];
         if (!x.dispatch) return;
         x.dispatch.reset();
-        note("", "sender %zu killed%s", s, power ? ", power" : "");
-        ++x.life;
-        for (size_t c = 0; c < kCores; ++c) closeWire(s, c, !power), x.wires[c].trying = false;
+        trace("", "sender %zu killed%s", s, power ? ", power" : "");
+        ++x.incarnation;
+        for (size_t c = 0; c < kCores; ++c) closeLink(s, c, !power), x.links[c].isConnecting = false;
         for (auto& [id, call] : calls_) {  // instances drop the work of connections that end
-            if (call.sender != s || call.over) continue;
-            call.over = true;
-            at(power ? millis(below(1500)) : millis(below(200)), [this, id = id] { leaveInstance(id); });
+            if (call.sender != s || call.isFinished) continue;
+            call.isFinished = true;
+            at(power ? millis(below(1500)) : millis(below(200)),
+               [this, id = id] { removeCallFromInstance(id); });
         }
         // What it had out is still there for a moment; the holder knows of it only if it was told. Without
         // power no connection was reset, so instances work on it longer than an ended sender's slots are
         // kept.
-        if (x.stray || power || !accounts_[s].synced || x.toldAt >= 0 || !x.lent.empty())
-            for (auto& [id, n] : x.busy)
-                if (n > 0) surplus_.insert(id);
-        x.may.clear(), x.told.clear(), x.busy.clear(), x.lent.clear(), x.stray = false, x.toldAt = -1;
+        if (x.isUntracked || power || !senderStatuses_[s].isSynced || x.unansweredSince >= 0 ||
+            !x.reassignable.empty())
+            for (auto& [id, n] : x.inFlight)
+                if (n > 0) oversubscribed_.insert(id);
+        x.granted.clear(), x.lastTold.clear(), x.inFlight.clear(), x.reassignable.clear(),
+            x.isUntracked = false, x.unansweredSince = -1;
         at(millis(300 + below(3000)), [this, s] { startSender(s); });
     }
     void killAgent(size_t s) {  // alone: the proxy goes on with what it holds
         Sender& x = senders_[s];
-        if (!x.dispatch || !x.agentUp || now_ < x.frozenUntil) return;
-        x.agentUp = false, x.agentLife = ++agentLives_;
-        note("", "agent of %zu ends", s);
-        for (size_t c = 0; c < kCores; ++c) closeWire(s, c, true), x.wires[c].trying = false;
-        x.term = 0, x.holder = -1, x.toldTerm = 0, x.toldLinked = false;
+        if (!x.dispatch || !x.isAgentUp || now_ < x.frozenUntil) return;
+        x.isAgentUp = false, x.agentIncarnation = ++lastAgentIncarnation_;
+        trace("", "agent of %zu ends", s);
+        for (size_t c = 0; c < kCores; ++c) closeLink(s, c, true), x.links[c].isConnecting = false;
+        x.term = 0, x.planner = -1, x.reportedTerm = 0, x.reportedLinked = false;
         x.dispatch->onPlannerDisconnected();
-        drain(s);
-        at(millis(100 + below(1500)), [this, s, life = x.life] {
-            inSender(s, life, [this, s](Sender& y) {
-                y.agentUp = true, y.agentLife = ++agentLives_;
+        drainDispatch(s);
+        at(millis(100 + below(1500)), [this, s, life = x.incarnation] {
+            runInSender(s, life, [this, s](Sender& y) {
+                y.isAgentUp = true, y.agentIncarnation = ++lastAgentIncarnation_;
                 for (size_t c = 0; c < kCores; ++c) connect(s, c);
             });
         });
     }
-    void agentTurn(size_t s, int life) {
+    void runAgentTimer(size_t s, int life) {
         at(millis(250), [this, s, life] {
-            inSender(s, life, [this, s, life](Sender& x) {
-                for (size_t c = 0; c < kCores && x.agentUp; ++c) {
-                    Wire& w = x.wires[c];
-                    if (w.up && now_ - w.heardAt > millis(2200)) closeWire(s, c, true), stand(s);
-                    if (!w.up) connect(s, c);
-                    if (w.up) sendUp(s, c, [](Core&) {});
+            runInSender(s, life, [this, s, life](Sender& x) {
+                for (size_t c = 0; c < kCores && x.isAgentUp; ++c) {
+                    SimulatedLink& w = x.links[c];
+                    if (w.isUp && now_ - w.lastHeardAt > millis(2200))
+                        closeLink(s, c, true), updateDispatchStatus(s);
+                    if (!w.isUp) connect(s, c);
+                    if (w.isUp) sendUp(s, c, [](Core&) {});
                 }
-                agentTurn(s, life);
+                runAgentTimer(s, life);
             });
         });
     }
-    void heardDuty(size_t s, uint64_t term, int holder) {
+    void onPlannerAnnounced(size_t s, uint64_t term, int holder) {
         Sender& x = senders_[s];
-        if (term > x.term || (term == x.term && x.holder < 0 && holder >= 0)) {
-            x.term = term, x.holder = holder;
-            stand(s);
+        if (term > x.term || (term == x.term && x.planner < 0 && holder >= 0)) {
+            x.term = term, x.planner = holder;
+            updateDispatchStatus(s);
         }
     }
-    void stand(size_t s) {
+    void updateDispatchStatus(size_t s) {
         Sender& x = senders_[s];
-        const bool linked = x.holder >= 0 && x.wires[static_cast<size_t>(x.holder)].up;
-        if (x.toldTerm == x.term && x.toldLinked == linked) return;
-        x.toldTerm = x.term, x.toldLinked = linked;
+        const bool linked = x.planner >= 0 && x.links[static_cast<size_t>(x.planner)].isUp;
+        if (x.reportedTerm == x.term && x.reportedLinked == linked) return;
+        x.reportedTerm = x.term, x.reportedLinked = linked;
         x.dispatch->updatePlannerStatus(now(), x.term, linked, static_cast<uint32_t>(senders_.size()));
         x.grantTerm = std::max(x.grantTerm, x.term);
-        drain(s);
+        drainDispatch(s);
     }
-    void take(size_t s, const scaler::Grants& grants) {
+    void applyGrants(size_t s, const scaler::Grants& grants) {
         Sender& x = senders_[s];
         if (grants.term >= x.grantTerm) {
             for (const auto& g : grants.grants)
-                note(g.instance, "sender %zu may use %u (out %u), term %lu", s, g.slots, x.busy[g.instance],
-                     grants.term);
-            x.grantTerm = std::max(x.grantTerm, plan_.defect == Defect::noFence ? 0 : grants.term);
-            for (const auto& g : grants.grants) x.may[g.instance] = g.slots, settle(g.instance);
+                trace(g.instance, "sender %zu may use %u (out %u), term %lu", s, g.slots,
+                      x.inFlight[g.instance], grants.term);
+            x.grantTerm =
+                std::max(x.grantTerm, config_.defect == Defect::acceptsStaleTerms ? 0 : grants.term);
+            for (const auto& g : grants.grants)
+                x.granted[g.instance] = g.slots, clearOversubscriptionIfResolved(g.instance);
         }
         x.dispatch->applyGrants(now(), grants);
     }
-    void drain(size_t s) {
+    void drainDispatch(size_t s) {
         Sender& x = senders_[s];
         if (!x.dispatch) return;
         while (auto o = x.dispatch->next()) {
-            if (auto* to = std::get_if<SendRequest>(&*o)) send(s, *to);
-            if (auto* p = std::get_if<ProbeInstance>(&*o)) probe(s, p->instance);
+            if (auto* to = std::get_if<SendRequest>(&*o)) startCall(s, *to);
+            if (auto* p = std::get_if<ProbeInstance>(&*o)) probeInstance(s, p->instance);
             if (auto* r = std::get_if<RejectRequest>(&*o)) {
-                if (calm_) note("", "sender %zu refuses %lu of %s", s, r->id, asks_[r->id].service);
-                if (asks_[r->id].ran) fail("told that it has not run, but it has");
+                if (isCalm_)
+                    trace("", "sender %zu refuses %lu of %s", s, r->id, requestRecords_[r->id].service);
+                if (requestRecords_[r->id].hasExecuted) fail("told that it has not run, but it has");
             }
-            if (std::get_if<ForwardResponse>(&*o) && calm_) ++passedCalm_;
-            if (auto* t = std::get_if<SendReport>(&*o)) report(s, std::move(t->report));
+            if (std::get_if<ForwardResponse>(&*o) && isCalm_) ++answeredWhileCalm_;
+            if (auto* t = std::get_if<SendReport>(&*o)) sendReport(s, std::move(t->report));
         }
         const int64_t wake = std::max(now_ + 500, x.dispatch->wakeAt().inMicros());
-        if (x.wakeSet > now_ && x.wakeSet <= wake) return;
-        x.wakeSet = wake;
-        at(wake - now_, [this, s, life = x.life, wake] {
-            if (senders_[s].life != life || senders_[s].wakeSet != wake) return;
-            inSender(s, life, [this](Sender& y) {
-                y.wakeSet = -1;
+        if (x.wakeScheduledFor > now_ && x.wakeScheduledFor <= wake) return;
+        x.wakeScheduledFor = wake;
+        at(wake - now_, [this, s, life = x.incarnation, wake] {
+            if (senders_[s].incarnation != life || senders_[s].wakeScheduledFor != wake) return;
+            runInSender(s, life, [this](Sender& y) {
+                y.wakeScheduledFor = -1;
                 y.dispatch->tick(now());
             });
         });
     }
-    void report(size_t s, scaler::Report r) {
+    void sendReport(size_t s, scaler::Report r) {
         Sender& x = senders_[s];
-        if (x.holder < 0 || !x.agentUp) return;
-        const auto c = static_cast<size_t>(x.holder);
-        if (!x.wires[c].up) return;
-        if (plan_.defect == Defect::givesBackEarly)
-            for (auto& h : r.held) h.slots = x.may[h.instance], h.busy = std::min(h.busy, h.slots);
+        if (x.planner < 0 || !x.isAgentUp) return;
+        const auto c = static_cast<size_t>(x.planner);
+        if (!x.links[c].isUp) return;
+        if (config_.defect == Defect::returnsSlotsEarly)
+            for (auto& h : r.held) h.slots = x.granted[h.instance], h.busy = std::min(h.busy, h.slots);
         for (const auto& h : r.held)
-            note(h.instance, "sender %zu reports%s %u held %u busy, term %lu", s, r.whole ? " whole" : "",
-                 h.slots, h.busy, r.term);
+            trace(h.instance, "sender %zu reports%s %u held %u busy, term %lu", s, r.whole ? " whole" : "",
+                  h.slots, h.busy, r.term);
         sendUp(s, c, [this, s, c, r = std::move(r)](Core& core) {
             if (!core.planner) return;
             for (const auto& h : r.held)
-                note(h.instance, "core %zu hears of %zu%s %u held %u busy, term %lu", c, s,
-                     r.whole ? " whole" : "", h.slots, h.busy, r.term);
-            if (r.whole) note("", "core %zu hears whole of %zu term %lu", c, s, r.term);
+                trace(h.instance, "core %zu hears of %zu%s %u held %u busy, term %lu", c, s,
+                      r.whole ? " whole" : "", h.slots, h.busy, r.term);
+            if (r.whole) trace("", "core %zu hears whole of %zu term %lu", c, s, r.term);
             core.planner->reported(now(), std::to_string(s), r);
-            if (r.whole && r.term == core.term) core.knows.insert(s);
-            if (holds(c) && r.term == term_) answered(s);
-            if (holds(c) && r.term == term_ && r.whole && !accounts_[s].synced) synced(s);
-            pull(c);
+            if (r.whole && r.term == core.term) core.syncedSenders.insert(s);
+            if (isActivePlanner(c) && r.term == term_) onSenderAnswered(s);
+            if (isActivePlanner(c) && r.term == term_ && r.whole && !senderStatuses_[s].isSynced)
+                onSenderSynced(s);
+            drainPlanner(c);
         });
     }
-    void probe(size_t s, InstanceIndex ix) {
+    void probeInstance(size_t s, InstanceIndex ix) {
         const InstanceInfo* v = senders_[s].dispatch->findInstance(ix);
         if (!v) return;
-        at(1000 + below(15000), [this, s, ix, id = v->id, life = senders_[s].life] {
-            auto m = machines_.find(id);
-            const bool up = m != machines_.end() && m->second.goneAt < 0 && m->second.upAt <= now_;
-            inSender(s, life, [this, ix, id, up](Sender& x) {
+        at(1000 + below(15000), [this, s, ix, id = v->id, life = senders_[s].incarnation] {
+            auto m = instances_.find(id);
+            const bool up = m != instances_.end() && m->second.terminatedAt < 0 && m->second.readyAt <= now_;
+            runInSender(s, life, [this, ix, id, up](Sender& x) {
                 const InstanceInfo* still = x.dispatch->findInstance(ix);
                 if (still && still->id == id) x.dispatch->onProbeResult(now(), ix, up);
             });
         });
     }
-    void send(size_t s, const SendRequest& to) {
+    void startCall(size_t s, const SendRequest& to) {
         Sender& x = senders_[s];
         const InstanceInfo* v = x.dispatch->findInstance(to.instance);
         if (!v) return fail("sent nowhere");
-        const uint64_t id = ++callsMade_;
-        calls_[id] = {s, x.life, to.id, v->id};
-        ++x.busy[v->id];
-        const Ask& ask = asks_[to.id];
+        const uint64_t id = ++lastCallId_;
+        calls_[id] = {s, x.incarnation, to.id, v->id};
+        ++x.inFlight[v->id];
+        const RequestRecord& ask = requestRecords_[to.id];
         const Instant gaveUp = to.attemptTimeout > Span() ? now() + to.attemptTimeout : ask.deadline;
         at(std::max<int64_t>(1, gaveUp.inMicros() - now_), [this, id] {
             auto found = calls_.find(id);
-            if (found == calls_.end() || found->second.over) return;
+            if (found == calls_.end() || found->second.isFinished) return;
             if (now_ < senders_[found->second.sender].frozenUntil) return;  // not while it sleeps
-            leaveInstance(id);
+            removeCallFromInstance(id);
             endCall(id, AttemptOutcome::timedOut, 0);
         });
-        at(500 + below(8000), [this, id] { arrive(id); });
+        at(500 + below(8000), [this, id] { onCallArrived(id); });
     }
-    void arrive(uint64_t id) {
+    void onCallArrived(uint64_t id) {
         auto found = calls_.find(id);
-        if (found == calls_.end() || found->second.over) return;
+        if (found == calls_.end() || found->second.isFinished) return;
         const Call call = found->second;
-        auto m = machines_.find(call.at);
-        if (m == machines_.end() || m->second.goneAt >= 0 || m->second.upAt > now_)
+        auto m = instances_.find(call.instance);
+        if (m == instances_.end() || m->second.terminatedAt >= 0 || m->second.readyAt > now_)
             return endCall(id, AttemptOutcome::connectFailed, 500 + below(8000));
-        Machine& machine = m->second;
-        if (static_cast<int>(machine.inUse.size()) >= machine.service->slots) {
-            ++full_;
-            note(call.at, "call %lu of %zu is turned away", id, call.sender);
-            if (calm_ || !excused(call.at)) fail(call.at + " was sent more than its slots");
+        SimulatedInstance& machine = m->second;
+        if (static_cast<int>(machine.runningCalls.size()) >= machine.service->slots) {
+            ++rejectedCount_;
+            trace(call.instance, "call %lu of %zu is turned away", id, call.sender);
+            if (isCalm_ || !isExcessAllowed(call.instance))
+                fail(call.instance + " was sent more than its slots");
             return endCall(id, AttemptOutcome::notExecuted, 500 + below(8000));
         }
-        Ask& ask = asks_[call.request];
-        if (ask.onceOnly && ask.ran) fail("a once-only request ran twice");
-        ask.ran = true;
-        ++ran_;
-        machine.inUse.insert(id);
-        note(call.at, "call %lu of %zu runs, %zu", id, call.sender, machine.inUse.size());
+        RequestRecord& ask = requestRecords_[call.request];
+        if (ask.isNonIdempotent && ask.hasExecuted) fail("a once-only request ran twice");
+        ask.hasExecuted = true;
+        ++executedCount_;
+        machine.runningCalls.insert(id);
+        trace(call.instance, "call %lu of %zu runs, %zu", id, call.sender, machine.runningCalls.size());
         const int64_t work = millis(5 + below(chance(0.1) ? 1200 : 150));
         at(work, [this, id, work] {
-            leaveInstance(id);
-            const bool lost = chance(trouble_ * 0.05);  // the answer; the connection stays silent
+            removeCallFromInstance(id);
+            const bool lost = chance(faultRate_ * 0.05);  // the answer; the connection stays silent
             if (lost) return;
-            const bool bad = chance(trouble_ * 0.1);
+            const bool bad = chance(faultRate_ * 0.1);
             endCall(id,
                     !bad          ? AttemptOutcome::answered
                     : chance(0.5) ? AttemptOutcome::serverError
@@ -681,34 +710,34 @@
                     500 + below(8000));
         });
     }
-    void leaveInstance(uint64_t id) {
+    void removeCallFromInstance(uint64_t id) {
         auto found = calls_.find(id);
         if (found == calls_.end()) return;
-        auto m = machines_.find(found->second.at);
-        if (m != machines_.end() && m->second.inUse.erase(id) > 0)
-            note(found->second.at, "call %lu of %zu done", id, found->second.sender);
+        auto m = instances_.find(found->second.instance);
+        if (m != instances_.end() && m->second.runningCalls.erase(id) > 0)
+            trace(found->second.instance, "call %lu of %zu done", id, found->second.sender);
     }
     void endCall(uint64_t id, AttemptOutcome how, int64_t delay) {
         at(delay, [this, id, how] {
             auto found = calls_.find(id);
-            if (found == calls_.end() || found->second.over) return;
+            if (found == calls_.end() || found->second.isFinished) return;
             const Call call = found->second;
-            inSender(call.sender, call.life, [this, id, call, how](Sender& x) {
+            runInSender(call.sender, call.senderIncarnation, [this, id, call, how](Sender& x) {
                 auto still = calls_.find(id);
-                if (still == calls_.end() || still->second.over) return;
+                if (still == calls_.end() || still->second.isFinished) return;
                 calls_.erase(still);
-                --x.busy[call.at];
+                --x.inFlight[call.instance];
                 x.dispatch->onAttemptEnded(now(), call.request, how);
-                settle(call.at);
+                clearOversubscriptionIfResolved(call.instance);
             });
         });
     }
-    void client(size_t s) {
+    void generateRequests(size_t s) {
         Sender& x = senders_[s];
-        if (x.dispatch && now_ >= x.frozenUntil && open_) {
-            const RequestId id = ++requests_;
+        if (x.dispatch && now_ >= x.frozenUntil && areClientsActive_) {
+            const RequestId id = ++lastRequestId_;
             static constexpr int kTimes[] = {400, 1000, 3000};
-            const Span left = Span::millis(calm_ ? 3000 : kTimes[below(3)]);
+            const Span left = Span::millis(isCalm_ ? 3000 : kTimes[below(3)]);
             IncomingRequest a{id,
                               below(3) ? "f" : "g",
                               below(2) == 0,
@@ -717,80 +746,85 @@
                               now() + left,
                               Span::millis(400),
                               left};
-            Ask& ask = asks_[id];
-            ask.onceOnly = !a.isIdempotent, ask.deadline = a.deadline;
+            RequestRecord& ask = requestRecords_[id];
+            ask.isNonIdempotent = !a.isIdempotent, ask.deadline = a.deadline;
             ask.service = a.service == "f" ? "f" : "g";
-            if (calm_) ++arrivedCalm_;
+            if (isCalm_) ++receivedWhileCalm_;
             x.dispatch->onRequest(now(), a);
-            drain(s);
+            drainDispatch(s);
         }
-        if (chance(0.02) && !calm_) x.rate = chance(0.3) ? 25 : 1 + static_cast<double>(below(8));
+        if (chance(0.02) && !isCalm_) x.rate = chance(0.3) ? 25 : 1 + static_cast<double>(below(8));
         at(static_cast<int64_t>(2e6 / x.rate * static_cast<double>(below(1000)) / 1000),
-           [this, s] { client(s); });
+           [this, s] { generateRequests(s); });
     }
 
     // ---- who is known, and what that excuses
     // One that says nothing though it was told something may have idle slots that were asked back passed on.
-    static constexpr int64_t kLate = 590000;
-    bool late(const Sender& x) const { return x.toldAt >= 0 && now_ - x.toldAt >= kLate; }
-    void answered(size_t s) {
+    static constexpr int64_t kUnansweredLimitUs = 590000;
+    bool isUnansweredTooLong(const Sender& x) const {
+        return x.unansweredSince >= 0 && now_ - x.unansweredSince >= kUnansweredLimitUs;
+    }
+    void onSenderAnswered(size_t s) {
         Sender& x = senders_[s];
-        if (late(x))
-            for (auto& [id, m] : machines_)
-                if (unread(x, id)) x.lent.insert(id);
-        x.toldAt = -1;
+        if (isUnansweredTooLong(x))
+            for (auto& [id, m] : instances_)
+                if (usesMoreThanTold(x, id)) x.reassignable.insert(id);
+        x.unansweredSince = -1;
     }
     // It may still use what the holder has asked back.
-    static bool unread(const Sender& x, const std::string& id) {
-        auto told = x.told.find(id);
-        return told != x.told.end() && uses(x, id) > told->second;
+    static bool usesMoreThanTold(const Sender& x, const std::string& id) {
+        auto told = x.lastTold.find(id);
+        return told != x.lastTold.end() && slotsInUse(x, id) > told->second;
     }
-    void mayBeOver(const Sender& x) {
-        for (auto& [id, m] : machines_)
-            if (uses(x, id) > 0) surplus_.insert(id), settle(id);
+    void markOversubscribed(const Sender& x) {
+        for (auto& [id, m] : instances_)
+            if (slotsInUse(x, id) > 0) oversubscribed_.insert(id), clearOversubscriptionIfResolved(id);
     }
-    void goStray(size_t s) {
+    void markUntracked(size_t s) {
         Sender& x = senders_[s];
-        if (!x.dispatch || x.stray) return;
-        x.stray = true;
-        note("", "sender %zu is a stray", s);
-        ++strays_;
-    }
-    void synced(size_t s) {
-        accounts_[s].synced = true, accounts_[s].freeAt = -1, accounts_[s].ended = false;
+        if (!x.dispatch || x.isUntracked) return;
+        x.isUntracked = true;
+        trace("", "sender %zu is a stray", s);
+        ++untrackedCount_;
+    }
+    void onSenderSynced(size_t s) {
+        senderStatuses_[s].isSynced = true, senderStatuses_[s].expiresAt = -1,
+        senderStatuses_[s].hasEnded = false;
         Sender& x = senders_[s];
-        for (const std::string& id : x.lent) surplus_.insert(id);
-        x.told.clear(), x.lent.clear();
-        if (!x.stray) return;
-        x.stray = false;
-        note("", "sender %zu is known again", s);
-        mayBeOver(x);
-    }
-    static uint32_t uses(const Sender& x, const std::string& id) {
+        for (const std::string& id : x.reassignable) oversubscribed_.insert(id);
+        x.lastTold.clear(), x.reassignable.clear();
+        if (!x.isUntracked) return;
+        x.isUntracked = false;
+        trace("", "sender %zu is known again", s);
+        markOversubscribed(x);
+    }
+    static uint32_t slotsInUse(const Sender& x, const std::string& id) {
         uint32_t most = 0;
-        for (const auto* each : {&x.may, &x.told, &x.busy})
+        for (const auto* each : {&x.granted, &x.lastTold, &x.inFlight})
             if (auto found = each->find(id); found != each->end()) most = std::max(most, found->second);
         return most;
     }
     // What was given twice is over once all that may be used fits again.
-    void settle(const std::string& id) {
-        if (surplus_.empty() || !surplus_.count(id)) return;
+    void clearOversubscriptionIfResolved(const std::string& id) {
+        if (oversubscribed_.empty() || !oversubscribed_.count(id)) return;
         uint32_t sum = 0;
-        for (const Sender& x : senders_) sum += uses(x, id);
-        for (uint64_t call : machines_[id].inUse)
-            if (calls_[call].over) return;  // of a sender that has ended
-        if (sum <= static_cast<uint32_t>(machines_[id].service->slots)) surplus_.erase(id);
-    }
-    bool excused(const std::string& id) {
-        settle(id);
-        if (surplus_.count(id)) return true;
+        for (const Sender& x : senders_) sum += slotsInUse(x, id);
+        for (uint64_t call : instances_[id].runningCalls)
+            if (calls_[call].isFinished) return;  // of a sender that has ended
+        if (sum <= static_cast<uint32_t>(instances_[id].service->slots)) oversubscribed_.erase(id);
+    }
+    bool isExcessAllowed(const std::string& id) {
+        clearOversubscriptionIfResolved(id);
+        if (oversubscribed_.count(id)) return true;
         for (const Sender& x : senders_)
-            if ((x.stray && uses(x, id) > 0) || (late(x) && unread(x, id))) return true;
+            if ((x.isUntracked && slotsInUse(x, id) > 0) ||
+                (isUnansweredTooLong(x) && usesMoreThanTold(x, id)))
+                return true;
         for (Sender& x : senders_) {
-            if (!x.lent.count(id)) continue;
-            if (unread(x, id)) return true;
-            x.lent.erase(id), surplus_.insert(id), settle(id);
-            if (surplus_.count(id)) return true;
+            if (!x.reassignable.count(id)) continue;
+            if (usesMoreThanTold(x, id)) return true;
+            x.reassignable.erase(id), oversubscribed_.insert(id), clearOversubscriptionIfResolved(id);
+            if (oversubscribed_.count(id)) return true;
         }
         return false;
     }
@@ -798,14 +832,14 @@
     // ---- troubles
     size_t anyCore() { return static_cast<size_t>(below(kCores)); }
     size_t anySender() { return static_cast<size_t>(below(static_cast<int64_t>(senders_.size()))); }
-    void electLater(int64_t from, int64_t to) {
+    void scheduleElection(int64_t from, int64_t to) {
         const uint64_t term = term_;
         at(millis(from + below(to - from)), [this, term] {
-            if (term == term_) elect(anyCore());
+            if (term == term_) electPlanner(anyCore());
         });
     }
-    void trouble() {
-        if (trouble_ == 0) return;
+    void injectFault() {
+        if (faultRate_ == 0) return;
         const size_t s = anySender();
         const int64_t kind = below(100);
         if (kind < 12) {
@@ -819,56 +853,56 @@
             const int64_t ways = below(3), which = below(2) ? -1 : below(kCores);
             for (size_t c = 0; c < kCores; ++c) {
                 if (which >= 0 && which != static_cast<int64_t>(c)) continue;
-                if (ways != 1) senders_[s].wires[c].cutUp = until;
-                if (ways != 2) senders_[s].wires[c].cutDown = until;
+                if (ways != 1) senders_[s].links[c].upCutUntil = until;
+                if (ways != 2) senders_[s].links[c].downCutUntil = until;
             }
         } else if (kind < 80) {
-            moveDuty();
-        } else if (!machines_.empty()) {
-            auto m = machines_.begin();
-            std::advance(m, below(static_cast<int64_t>(machines_.size())));
-            if (m->second.goneAt < 0) {
+            disruptPlanner();
+        } else if (!instances_.empty()) {
+            auto m = instances_.begin();
+            std::advance(m, below(static_cast<int64_t>(instances_.size())));
+            if (m->second.terminatedAt < 0) {
                 if (chance(0.5))
-                    vanish(m->first);
+                    terminateInstance(m->first);
                 else
                     drainInstance(m->first);
             }
         }
-        at(millis(chance(0.3) ? below(60) : below(2500)), [this] { trouble(); });
+        at(millis(chance(0.3) ? below(60) : below(2500)), [this] { injectFault(); });
     }
     void drainInstance(const std::string& id) {
-        machines_[id].draining = true;
-        at(millis(4000), [this, id] { vanish(id); });
+        instances_[id].draining = true;
+        at(millis(4000), [this, id] { terminateInstance(id); });
     }
     void freezeSender(size_t s, int64_t lasts) {
         Sender& x = senders_[s];
         if (!x.dispatch || now_ < x.frozenUntil) return;
         x.frozenUntil = now_ + lasts;
-        note("", "sender %zu sleeps %ld", s, lasts);
+        trace("", "sender %zu sleeps %ld", s, lasts);
         // What it gives up on waking: calls whose time passed while it slept.
-        at(lasts + 1, [this, s, life = x.life] {
-            if (senders_[s].life != life) return;
+        at(lasts + 1, [this, s, life = x.incarnation] {
+            if (senders_[s].incarnation != life) return;
             std::vector<uint64_t> late;
             for (auto& [id, call] : calls_)
-                if (call.sender == s && !call.over && asks_[call.request].deadline <= now())
+                if (call.sender == s && !call.isFinished && requestRecords_[call.request].deadline <= now())
                     late.push_back(id);
-            for (uint64_t id : late) leaveInstance(id), endCall(id, AttemptOutcome::timedOut, 0);
+            for (uint64_t id : late) removeCallFromInstance(id), endCall(id, AttemptOutcome::timedOut, 0);
         });
     }
-    void moveDuty() {
-        if (holder_ < 0) return;
-        const auto c = static_cast<size_t>(holder_);
+    void disruptPlanner() {
+        if (planner_ < 0) return;
+        const auto c = static_cast<size_t>(planner_);
         Core& core = cores_[c];
-        if (!holds(c) || !core.planner || core.losing || now_ < core.frozenUntil) return;
+        if (!isActivePlanner(c) || !core.planner || core.isBeingReplaced || now_ < core.frozenUntil) return;
         switch (below(5)) {
             case 0: {  // it ends
-                ++core.life;
-                endDuty(c);
-                core.up = false;
-                core.guests.clear();
-                for (size_t s = 0; s < senders_.size(); ++s) coreEnded(c, s);
-                at(millis(500 + below(2500)), [this, c] { cores_[c].up = true; });
-                electLater(700, 1400);
+                ++core.incarnation;
+                stopPlanner(c);
+                core.isUp = false;
+                core.linkedSenders.clear();
+                for (size_t s = 0; s < senders_.size(); ++s) closeLinkOfStoppedCore(c, s);
+                at(millis(500 + below(2500)), [this, c] { cores_[c].isUp = true; });
+                scheduleElection(700, 1400);
                 break;
             }
             case 1:
@@ -876,58 +910,61 @@
                 const int64_t lasts = millis(chance(0.6) ? 700 + below(1500) : below(6000));
                 core.frozenUntil = now_ + lasts;
                 if (lasts < millis(700)) break;
-                core.losing = true;
+                core.isBeingReplaced = true;
                 const int64_t other = millis(700 + below(600));
                 const uint64_t term = term_;
                 at(other, [this, term, c] {
-                    if (term == term_) elect((c + 1 + static_cast<size_t>(below(2))) % kCores);
+                    if (term == term_) electPlanner((c + 1 + static_cast<size_t>(below(2))) % kCores);
                 });
                 at(lasts + 1 + below(4000), [this, c, generation = core.generation] {
-                    if (cores_[c].generation == generation) endDuty(c);
+                    if (cores_[c].generation == generation) stopPlanner(c);
                 });
                 break;
             }
             case 3:  // it is not heard by a majority
-                endDuty(c);
-                electLater(20, 600);
+                stopPlanner(c);
+                scheduleElection(20, 600);
                 break;
             default:
-                renew();
+                renewTerm();
         }
     }
-    void coreEnded(size_t c, size_t s) {
-        at(1000 + below(16000), [this, c, s, life = senders_[s].life, epoch = senders_[s].wires[c].epoch] {
-            inSender(s, life, [this, c, s, epoch](Sender& x) {
-                if (x.wires[c].up && x.wires[c].epoch == epoch) closeWire(s, c, false), stand(s);
-            });
-        });
+    void closeLinkOfStoppedCore(size_t c, size_t s) {
+        at(1000 + below(16000),
+           [this, c, s, life = senders_[s].incarnation, epoch = senders_[s].links[c].epoch] {
+               runInSender(s, life, [this, c, s, epoch](Sender& x) {
+                   if (x.links[c].isUp && x.links[c].epoch == epoch)
+                       closeLink(s, c, false), updateDispatchStatus(s);
+               });
+           });
     }
     void heal() {
-        trouble_ = 0;
+        faultRate_ = 0;
         for (Sender& x : senders_)
-            for (Wire& w : x.wires) w.cutUp = w.cutDown = 0;
+            for (SimulatedLink& w : x.links) w.upCutUntil = w.downCutUntil = 0;
     }
 
-    Plan plan_;
-    double trouble_ = 1;
-    bool calm_ = false, open_ = true;
-    Span listLag_;
-    std::map<std::string, Machine> machines_;
-    std::map<std::string, std::string> byNonce_;
-    int made_ = 0;
+    SimulationConfig config_;
+    double faultRate_ = 1;
+    bool isCalm_ = false, areClientsActive_ = true;
+    Span listDelay_;
+    std::map<std::string, SimulatedInstance> instances_;
+    std::map<std::string, std::string> instanceByNonce_;
+    int createdInstances_ = 0;
     std::array<Core, kCores> cores_;
-    std::vector<Account> accounts_;
-    uint64_t term_ = 0, fence_ = 0;
-    int holder_ = -1;
+    std::vector<SenderStatus> senderStatuses_;
+    uint64_t term_ = 0, fencingTerm_ = 0;
+    int planner_ = -1;
     std::vector<Sender> senders_;
-    int agentLives_ = 0, epochs_ = 0;
+    int lastAgentIncarnation_ = 0, lastEpoch_ = 0;
     std::map<uint64_t, Call> calls_;
-    std::map<RequestId, Ask> asks_;
-    uint64_t callsMade_ = 0;
-    RequestId requests_ = 0;
+    std::map<RequestId, RequestRecord> requestRecords_;
+    uint64_t lastCallId_ = 0;
+    RequestId lastRequestId_ = 0;
     std::set<std::string>
-        surplus_;  // instances where more may be used than there is, since a stray came back
-    long ran_ = 0, full_ = 0, holders_ = 0, strays_ = 0, arrivedCalm_ = 0, passedCalm_ = 0;
+        oversubscribed_;  // instances where more may be used than there is, since a stray came back
+    long executedCount_ = 0, rejectedCount_ = 0, electionCount_ = 0, untrackedCount_ = 0,
+         receivedWhileCalm_ = 0, answeredWhileCalm_ = 0;
 };
 
 }  // namespace petrelpond::proxy::slots
