--- a/system/control_plane/control.cpp
+++ b/system/control_plane/control.cpp
@@ -417,10 +417,10 @@
 }
 
 void Control::sendHeartbeat(InboundLink& inbound) {
-    inbound.link->say(
-        Kind::beat, network::Beat{committedValue_ ? committedValue_->version : 0,
-                                  committedValue_ ? committedValue_->digest : 0, duty_.term, duty_.holder,
-                                  static_cast<uint32_t>(agentByName_.size()), core_->isInContact(loop_.now())});
+    inbound.link->say(Kind::beat, network::Beat{committedValue_ ? committedValue_->version : 0,
+                                                committedValue_ ? committedValue_->digest : 0, duty_.term,
+                                                duty_.holder, static_cast<uint32_t>(agentByName_.size()),
+                                                core_->isInContact(loop_.now())});
 }
 
 void Control::sendWelcome(InboundLink& inbound) {
--- a/system/proxy/slots_sim_for_test.hpp
+++ b/system/proxy/slots_sim_for_test.hpp
@@ -152,7 +152,7 @@
                }
                at(millis(5 + below(60)), [this, c, generation, id] {
                    callPlanner(c, generation,
-                          [id](scaler::Planner& p, Instant now) { p.onStopped(now, id, 200); });
+                               [id](scaler::Planner& p, Instant now) { p.onStopped(now, id, 200); });
                });
            });
     }
@@ -174,7 +174,8 @@
                 all.push_back({id, m.service->name, "x:" + id, "a", "w1", m.service->slots, m.draining});
         }
         at(below(listDelay_.inMicros()), [this, c, generation, all] {
-            callPlanner(c, generation, [all](scaler::Planner& p, Instant now) { p.onInstanceList(now, all); });
+            callPlanner(c, generation,
+                        [all](scaler::Planner& p, Instant now) { p.onInstanceList(now, all); });
         });
         at(millis(600), [this, c, generation] { pollInstanceList(c, generation); });
     }
