--- a/bench/decisions_bench.cpp
+++ b/bench/decisions_bench.cpp
@@ -1,6 +1,5 @@
-// What one text costs in decisions, by the number of destinations and the share of them that refuse: the
-// module alone, in simulated time, 400 texts a second. Its time is taken round the calls into it and nothing
-// else.
+// Cost of the decisions for one text, by the number of destinations and the share of them that reject calls. Runs the
+// decision module alone in simulated time at 400 texts per second, and measures only the calls into the module.
 #include <benchmark/benchmark.h>
 #include <malloc.h>
 
@@ -16,7 +15,7 @@
 namespace {
 
 constexpr int kTextsASecond = 400;
-constexpr double kRefused = 0.005, kDelivered = 0.05;  // seconds until a call's end
+constexpr double kRefused = 0.005, kDelivered = 0.05;  // seconds until the result of a call
 
 struct Due {
     Instant at;
@@ -36,12 +35,13 @@
                              {Span::seconds(10), Span::millis(500)});
         std::vector<ListEntry> list;
         for (uint32_t d = 0; d < destinations; ++d) {
-            list.push_back({EndpointIndex(d), DestinationIndex(d), ZoneIndex(d % 2), KindIndex(0u), ListState::active, 0});
+            list.push_back(
+                {EndpointIndex(d), DestinationIndex(d), ZoneIndex(d % 2), KindIndex(0u), ListState::active, 0});
         }
         sender_->onEndpointList(now_, ListScope::complete, list);
         pull();
     }
-    // Runs on for so many texts; returns the seconds spent in the module.
+    // Runs until `n` more texts have arrived; returns the seconds spent in the module.
     double texts(int n) {
         double before = spent_;
         for (int i = 0; i < n; ++i) {
@@ -108,11 +108,11 @@
     std::unique_ptr<Sender> sender_;
 };
 
-// Arguments: destinations, percent refusing.
+// Arguments: number of destinations, percentage of them that reject calls.
 void decisions(benchmark::State& state) {
     Scripted world(static_cast<uint32_t>(state.range(0)), static_cast<double>(state.range(1)) / 100);
-    // Until as many texts wait as ever will: their validity period is 10 s. What would take minutes is cut
-    // short.
+    // Warms up until the number of waiting texts is stable: they are valid for 10 s. Stops after 6 s of measured
+    // time, as some settings would take minutes.
     double warm = 0;
     for (int s = 0; s < 12 && warm < 6; ++s) warm += world.texts(kTextsASecond);
     double spent = 0;
@@ -130,7 +130,7 @@
     ->Unit(benchmark::kMillisecond)
     ->MinTime(0.5);
 
-// What a destination keeps that got a few texts and fell silent, in the module alone: at once and at rest.
+// Memory per destination after a few texts, in the module alone: right away, and after its record was unloaded.
 void idleBytes(benchmark::State& state) {
     auto destinations = static_cast<uint32_t>(state.range(0));
     for (auto _ : state) {
@@ -138,15 +138,15 @@
         Scripted world(destinations, 0);
         world.texts(static_cast<int>(destinations) * 3);
         size_t used = mallinfo2().uordblks;
-        world.silence(Span::seconds(130));  // rest comes after a minute, in turn
+        world.silence(Span::seconds(130));  // records are unloaded after an idle minute, in turn
         state.counters["bytes_used"] = static_cast<double>(used - before) / destinations;
         state.counters["bytes_idle"] = static_cast<double>(mallinfo2().uordblks - before) / destinations;
     }
 }
 BENCHMARK(idleBytes)->Arg(10000)->Iterations(1)->Unit(benchmark::kMillisecond);
 
-// A list of so many destinations replaced whole, each with a new endpoint, as a host does once a second: what
-// one costs, and what a hundred leave behind.
+// Replaces the complete endpoint list once a second, with a new endpoint for each destination: the time for one list,
+// and the memory that a hundred lists leave behind.
 void wholeLists(benchmark::State& state) {
     auto destinations = static_cast<uint32_t>(state.range(0));
     std::vector<Product> products = {
@@ -159,7 +159,7 @@
     uint32_t round = 0, nextText = 0;
     size_t before = 0;
     auto once = [&] {
-        // The host's indices go round too: what is gone gives its own to what comes two lists later.
+        // The host reuses indices as well: a removed endpoint's index returns two lists later.
         std::vector<ListEntry> list;
         for (uint32_t d = 0; d < destinations; ++d) {
             list.push_back({EndpointIndex(d + round % 2 * destinations), DestinationIndex(d), ZoneIndex(0u),
@@ -176,14 +176,15 @@
         }
         while (auto d = sender->nextDecision(now)) {
             if (const auto* s = std::get_if<Submit>(&*d)) {
-                sender->onSubmitResult(now, {s->text, s->endpoint, SubmitStatus::delivered, true, Span(), std::nullopt});
+                sender->onSubmitResult(
+                    now, {s->text, s->endpoint, SubmitStatus::delivered, true, Span(), std::nullopt});
             }
         }
         double took = std::chrono::duration<double>(std::chrono::steady_clock::now() - from).count();
         now = now + Span::seconds(1);
         return took;
     };
-    for (int i = 0; i < 130; ++i) once();  // until the first have had their rest
+    for (int i = 0; i < 130; ++i) once();  // until the first records were unloaded
     before = mallinfo2().uordblks;
     for (auto _ : state) state.SetIterationTime(once());
     state.counters["bytes_grown"] = static_cast<double>(mallinfo2().uordblks) - static_cast<double>(before);
--- a/include/petrelpond/ids.hpp
+++ b/include/petrelpond/ids.hpp
@@ -1,5 +1,5 @@
-// Small indices. A host turns whatever its protocol calls things into these at the door, counted from 0
-// for each sender on its own, so that no decision can hang on how senders are spread over processes.
+// Typed indices for the objects that a sender decides about. The host maps protocol names to indices when they enter,
+// counting from 0 for each sender, so that no decision depends on how senders are spread over processes.
 #pragma once
 
 #include <compare>
@@ -11,6 +11,7 @@
 
 namespace petrelpond {
 
+// A dense index; kNone means "no such object". The tag keeps indices of different objects from being mixed.
 template <class Tag>
 struct Index {
     static constexpr uint32_t kNone = UINT32_MAX;
@@ -28,11 +29,12 @@
 using ZoneIndex = Index<struct ZoneTag>;
 using KindIndex = Index<struct KindTag>;
 
-// Small indices for one sender's names, in the order in which it met them. Of a name it keeps the string and
-// its places in a table of indices, no more: there may be tens of thousands.
+// Assigns dense indices to one sender's names, in order of first use. It stores each string once and finds it through
+// an open-addressing hash table of indices, because there may be tens of thousands of names.
 template <class Ix>
 class NameTable {
   public:
+    // The name's index, newly assigned if the name is unknown.
     Ix intern(std::string_view name) {
         if (Ix known = find(name); known.isKnown()) return known;
         if (2 * (used_ + 1) > table_.size()) rebuild();
@@ -43,7 +45,7 @@
         enter(ix.value);
         return ix;
     }
-    // The name is forgotten, and the next one that comes gets its index.
+    // Removes the name; its index is reused for a name that is interned later.
     void release(Ix index) {
         for (size_t at = slotOf(names_.at(index.value)); table_[at] != kEmpty; at = next(at)) {
             if (table_[at] == index.value) {
@@ -54,6 +56,7 @@
         names_[index.value] = std::string();
         free_.push_back(index);
     }
+    // The name's index, or one for which isKnown() is false.
     Ix find(std::string_view name) const {
         if (table_.empty()) return Ix();
         for (size_t at = slotOf(name); table_[at] != kEmpty; at = next(at)) {
@@ -74,7 +77,7 @@
         while (table_[at] != kEmpty) at = next(at);
         table_[at] = ix, ++used_;
     }
-    // Twice the room for those that live; what has left is swept out.
+    // Resizes the table for the live entries and drops the tombstones.
     void rebuild() {
         std::vector<uint32_t> live;
         for (uint32_t ix : table_) {
@@ -86,9 +89,9 @@
         for (uint32_t ix : live) enter(ix);
     }
     std::vector<std::string> names_;
-    std::vector<uint32_t> table_;  // open addressing, at most half full
+    std::vector<uint32_t> table_;  // open addressing with linear probing, at most half full
     std::vector<Ix> free_;
-    size_t used_ = 0;  // entries of the table that are not empty
+    size_t used_ = 0;  // table entries that are not kEmpty, tombstones included
 };
 
 }  // namespace petrelpond
--- a/include/petrelpond/pull.hpp
+++ b/include/petrelpond/pull.hpp
@@ -1,5 +1,5 @@
-// How a host pulls decisions: one by one, and no more than so many at one instant. A Sender that asks to be woken
-// at the very instant in which it decides never comes to an end, and whoever waits for it waits for ever.
+// How a host pulls decisions: one at a time and with an upper bound for each instant. Without the bound, a faulty
+// Sender that asks to be woken at the current instant would keep its host in an endless loop.
 #pragma once
 
 #include <cstddef>
@@ -8,7 +8,8 @@
 
 namespace petrelpond {
 
-// False where `most` were pulled and there may be more: the clock must go on before the rest are.
+// Passes decisions to `each` until there are none. Returns false if `most` were pulled and more may be pending; the
+// caller must then let the clock advance before it pulls the rest.
 template <class Each>
 [[nodiscard]] bool pullDecisions(Sender& sender, Instant now, size_t most, Each each) {
     for (size_t n = 0; n < most; ++n) {
@@ -19,7 +20,8 @@
     return false;
 }
 
-// At an instant of a simulated clock, which does not go on by itself: that many come from no sender that is well.
+// Bound for simulated clocks, which don't advance on their own. A correct sender never decides this often at one
+// instant.
 constexpr size_t kMaxDecisionsPerInstant = 1'000'000;
 
 }  // namespace petrelpond
--- a/include/petrelpond/time.hpp
+++ b/include/petrelpond/time.hpp
@@ -1,4 +1,5 @@
-// Points in time and spans, kept apart by type: adding two instants does not compile.
+// Points in time and durations, both in whole microseconds. They are separate types, so that adding two points in
+// time does not compile.
 #pragma once
 
 #include <compare>
@@ -7,6 +8,7 @@
 
 namespace petrelpond {
 
+// A duration; may be negative.
 class Span {
   public:
     constexpr Span() = default;
@@ -25,11 +27,12 @@
     int64_t us_ = 0;
 };
 
+// A point in time on the host's clock. The clock's origin is the host's choice.
 class Instant {
   public:
     constexpr Instant() = default;
     static constexpr Instant atMicros(int64_t us) { return Instant(us); }
-    // Before and after every instant that a host's clock can show.
+    // Sentinels before and after every value of a host's clock. A quarter of the range leaves room for arithmetic.
     static constexpr Instant longAgo() { return Instant(std::numeric_limits<int64_t>::min() / 4); }
     static constexpr Instant never() { return Instant(std::numeric_limits<int64_t>::max() / 4); }
     constexpr int64_t inMicros() const { return us_; }
--- a/simhost/host.hpp
+++ b/simhost/host.hpp
@@ -1,5 +1,5 @@
-// The host of many senders behind one wire: ids to indices on the way in, decisions to lines on the way
-// out. It makes no choice of its own.
+// Runs many senders behind one line protocol: maps ids to indices for events, and decisions to lines for replies. It
+// takes no decision of its own.
 #pragma once
 
 #include <iosfwd>
@@ -15,16 +15,17 @@
 
 namespace petrelpond {
 
+// A batch is CLOCK, events, and GO; the reply to GO has a line for each decision and ends with OK.
 class Host {
   public:
-    Host(std::ostream& out, std::ostream& complaints) : out_(out), complaints_(complaints) {}
+    Host(std::ostream& out, std::ostream& errors) : out_(out), errors_(errors) {}
     virtual ~Host() = default;
-    // Takes one line. True when a reply has been written. Throws wire::Malformed.
-    bool take(std::string_view text);
+    // Handles one line. True if a reply was written. Throws Malformed.
+    bool handleLine(std::string_view text);
 
   protected:
-    // Where a test puts its own sender in the place of the real one.
-    virtual std::unique_ptr<Sender> seat(std::unique_ptr<Sender> sender) { return sender; }
+    // Lets a test replace the real sender by its own.
+    virtual std::unique_ptr<Sender> wrapSender(std::unique_ptr<Sender> sender) { return sender; }
 
   private:
     struct TextRow {
@@ -41,34 +42,34 @@
         uint32_t nextText = 0;
         ReportFields reports;
     };
-    struct SheetRow {
+    struct ListRow {
         std::string endpoint, site, model, dest;
         ListState state = ListState::active;
         double rate = 0;
     };
 
-    void event(const wire::Line& line);
-    void open(int64_t who, const wire::Line& line);
-    void arrival(Instance& in, const wire::Line& line);
-    void outcome(Instance& in, const wire::Line& line);
-    void fleet(Instance& in, const wire::Line& line);
-    void reply();
-    void write(int64_t who, Instance& in, const Decision& decision);
-    void forgetIfDone(Instance& in, TextIndex text);
-    void complain(const std::string& words);
+    void handleEvent(const wire::Line& line);
+    void openInstance(int64_t who, const wire::Line& line);
+    void handleArrival(Instance& in, const wire::Line& line);
+    void handleResult(Instance& in, const wire::Line& line);
+    void handleEndpointList(Instance& in, const wire::Line& line);
+    void writeReply();
+    void writeDecision(int64_t who, Instance& in, const Decision& decision);
+    void removeIfDone(Instance& in, TextIndex text);
+    void warn(const std::string& words);
 
     std::ostream& out_;
-    std::ostream& complaints_;
+    std::ostream& errors_;
     std::map<int64_t, Instance> instances_;
-    std::map<int64_t, std::string> broken_;
-    std::vector<int64_t> touched_;
-    std::vector<SheetRow> sheets_[16];
-    int64_t sheetOpen_ = -1, sheetRows_ = 0, lineNumber_ = 0;
+    std::map<int64_t, std::string> failures_;
+    std::vector<int64_t> activeSenders_;
+    std::vector<ListRow> lists_[16];
+    int64_t openList_ = -1, listRowsLeft_ = 0, lineNumber_ = 0;
     bool inBatch_ = false;
     Instant now_;
 };
 
-// Reads lines until the end of input; the process's exit code.
-int serve(std::istream& in, std::ostream& out, std::ostream& complaints);
+// Handles lines until the end of input. Returns the exit code of the process: 0, or 2 after a malformed line.
+int serve(std::istream& in, std::ostream& out, std::ostream& errors);
 
 }  // namespace petrelpond
--- a/simhost/wire.hpp
+++ b/simhost/wire.hpp
@@ -1,4 +1,4 @@
-// Reading and writing the lines of the wire. It knows names and numbers, and nothing of what they mean.
+// Parses lines of the form `TAG name=value ...`, without any knowledge of their meaning.
 #pragma once
 
 #include <cstdint>
@@ -11,12 +11,13 @@
 
 namespace petrelpond::wire {
 
+// A parsed line; it refers to the text that it was parsed from. All conversions throw Malformed.
 class Line {
   public:
     explicit Line(std::string_view text);
     std::string_view tag() const { return tag_; }
     bool has(std::string_view name) const;
-    std::string_view text(std::string_view name) const;  // throws Malformed where it is absent
+    std::string_view text(std::string_view name) const;  // throws Malformed if it is absent
     int64_t integer(std::string_view name) const;
     int64_t integerOr(std::string_view name, int64_t absent) const;
     uint64_t unsignedInteger(std::string_view name) const;
--- a/src/index/delivery_history.hpp
+++ b/src/index/delivery_history.hpp
@@ -1,4 +1,4 @@
-// Deliveries of the last 20 seconds, for rates over a part of them.
+// Times of deliveries in the last 20 seconds, for rates over a part of them.
 #pragma once
 
 #include <algorithm>
@@ -11,7 +11,7 @@
 class DeliveryHistory {
   public:
     void add(Instant now) { times_.push_back(now); }
-    // Calls a second over the last such span, 20 s at most.
+    // Deliveries per second over the last `over`, which may be 20 s at most.
     double rate(Instant now, Span over) {
         while (first_ < times_.size() && now - times_[first_] > Span::seconds(20)) ++first_;
         if (first_ > 32 && 2 * first_ > times_.size()) {
--- a/src/index/endpoint_registry.hpp
+++ b/src/index/endpoint_registry.hpp
@@ -1,5 +1,5 @@
-// Which endpoints a destination has, as chains through their seeds, so that a silent destination costs no
-// list; and the records of all that are listed.
+// Registry of destinations, their endpoints and limit groups. The endpoints of a destination are linked through their
+// cores, so that an idle destination needs no list.
 #pragma once
 
 #include <list>
@@ -16,20 +16,20 @@
     DestinationIndex destination;
     ZoneIndex zone;
     KindIndex kind;
-    uint32_t group = 0, next = kNone;                                  // next: of the same destination
-    bool active = false, disabled = false, removed = false, ownGroup = false;  // ownGroup: its place is its own
+    uint32_t group = 0, next = kNone;                                          // next: of the same destination
+    bool active = false, disabled = false, removed = false, ownGroup = false;  // ownGroup: has its own limit group
     bool usable() const { return active && !disabled; }
 };
 struct DestinationCore {
-    uint32_t group = kNone, first = kNone;  // shared by its endpoints; the first of them
+    uint32_t group = kNone, first = kNone;  // group shared by its endpoints; the first endpoint
 };
 struct Destination {
     DestinationCore core;
     std::vector<uint32_t> endpoints;
     std::list<TextIndex> waiting;
-    Instant expiryCheckedFor = Instant::longAgo();  // its texts' times were held against this turn,
-    size_t expiryUnchecked = 0;                     // but for so many of the last
-    Instant lastUsedAt = Instant::longAgo();
+    Instant checkedUntil = Instant::longAgo();  // the texts' validity was checked against this time,
+    size_t unchecked = 0;                       // except for this many of the newest
+    Instant usedAt = Instant::longAgo();
 };
 
 template <class Endpoint>
@@ -39,7 +39,7 @@
     return all;
 }
 
-// At the end of its destination's chain.
+// Appends an endpoint to its destination's chain.
 template <class Endpoint, class Destination>
 void link(LazyTable<Endpoint, EndpointCore>& endpoints, LazyTable<Destination, DestinationCore>& destinations,
           uint32_t ix, const EndpointCore& core) {
@@ -54,7 +54,7 @@
     if (Destination* whole = destinations.find(d)) whole->endpoints.push_back(ix);
 }
 
-// Out of its chain, and nothing of it is left.
+// Removes an endpoint from its chain and drops all of its state.
 template <class Endpoint, class Destination>
 void unlink(LazyTable<Endpoint, EndpointCore>& endpoints, LazyTable<Destination, DestinationCore>& destinations,
             uint32_t ix) {
@@ -71,6 +71,7 @@
     endpoints.updateCore(ix, [](EndpointCore& at) { at = {}; });
 }
 
+// Hands out small indices and reuses released ones.
 class IndexPool {
   public:
     uint32_t acquire() {
@@ -85,7 +86,7 @@
     uint32_t next_ = 0;
 };
 
-// Records by index, of whom is listed: destinations, their endpoints, and the places that a limit belongs to.
+// The records by index: destinations, endpoints, and the limit groups that rate limits belong to.
 template <class LimitGroup, class Endpoint>
 class EndpointRegistry {
   protected:
@@ -98,7 +99,8 @@
     uint32_t groupOf(EndpointIndex ix) const {
         return ix.value < endpoints_.size() ? endpoints_.core(ix.value).group : kNone;
     }
-    // hasOwnGroup(kind): endpoints of that kind have a place each; else those of a destination share one.
+    // hasOwnGroup(kind): whether each endpoint of that kind has a limit group of its own; else the endpoints of a
+    // destination share one.
     template <class HasOwnGroup>
     void applyList(ListScope scope, const std::vector<ListEntry>& entries, bool rates, HasOwnGroup hasOwnGroup) {
         bool whole = scope == ListScope::complete, all = scope != ListScope::changes;
@@ -121,7 +123,7 @@
         if (uint32_t at = destinations_.core(ix.value).group; at != kNone) freeGroup(at);
         destinations_.updateCore(ix.value, [](DestinationCore& d) { d = {}; });
     }
-    // With its last call back, nothing of an endpoint that is gone is kept.
+    // Drops a removed endpoint once none of its calls is in flight.
     void removeIfUnused(uint32_t ix) {
         if (ix >= endpoints_.size()) return;
         const Endpoint* whole = endpoints_.find(ix);
--- a/src/index/in_flight.hpp
+++ b/src/index/in_flight.hpp
@@ -1,4 +1,4 @@
-// Starts of the calls that are out, and the order of texts that share a key.
+// Calls in flight, and the order of texts that share a key.
 #pragma once
 
 #include <deque>
@@ -10,14 +10,17 @@
 
 namespace petrelpond {
 
-// Starts of the calls that are out. One that calls begun long after it have overtaken is lost (its connection
-// fell silent, its answer went astray): it keeps its slot, but says nothing of how busy or slow the place is.
+// Start times of the calls in flight. A call counts as lost once calls that started long after it have been answered
+// (its connection fell silent or its answer was lost): it keeps its slot, but is left out of load and age. All other
+// calls are live.
 struct InFlightCalls {
     std::multiset<Instant> starts;
-    Instant latestAnsweredStart = Instant::longAgo();  // the latest start of one that was delivered
-    Span lostAfter;                              // overtaken by so much it is lost
-    auto firstLive() const { return starts.lower_bound(latestAnsweredStart - lostAfter); }
+    Instant answeredStart = Instant::longAgo();  // latest start of a call that was delivered
+    Span lostAfter;                              // a call that started this long before it is lost
+    // The oldest live call, or the end.
+    auto firstLive() const { return starts.lower_bound(answeredStart - lostAfter); }
     double liveCount() const { return static_cast<double>(std::distance(firstLive(), starts.end())); }
+    // Ages of live calls, in seconds.
     double longestAge(Instant now) const { return liveCount() > 0 ? (now - *firstLive()).inSeconds() : 0; }
     double totalAge(Instant now) const {
         double sum = 0;
@@ -26,7 +29,8 @@
     }
 };
 
-// Texts of one key go in the order taken; after a submit that may still run the key rests.
+// Texts of one key are sent in order of arrival. After a submit that may still run the key is held: for some time
+// only the text of that submit may be sent.
 struct KeyOrder {
     struct Queue {
         std::deque<TextIndex> texts;
@@ -40,6 +44,7 @@
         auto queue = queues.find(key);
         return queue == queues.end() || queue->second.texts.empty() ? TextIndex() : queue->second.texts.front();
     }
+    // The text must have been enqueued.
     bool maySubmit(uint64_t key, TextIndex text, Instant now) const {
         const Queue& queue = queues.at(key);
         return queue.texts.front() == text && (now >= queue.heldUntil || queue.heldFor == text);
--- a/src/index/lazy_table.hpp
+++ b/src/index/lazy_table.hpp
@@ -1,5 +1,5 @@
-// Records of which most lie still: each has a small seed, and is whole only while it is in use. Ten thousand
-// silent destinations then cost their seeds.
+// A table of records of which most are idle. Each index has a small core that is always kept; the full record is
+// loaded only while it is in use, so that ten thousand idle destinations cost no more than their cores.
 #pragma once
 
 #include <cstddef>
@@ -9,8 +9,8 @@
 
 namespace petrelpond {
 
-// Whole has its Seed as a member, `is`, and may have woke() to make more of it. References to a whole hold
-// until it rests.
+// Record holds its Core as the member `core` and may have a function onLoaded(), which is called after it was loaded.
+// References to a record are valid until it is unloaded.
 template <class Record, class Core>
 class LazyTable {
   public:
@@ -19,13 +19,14 @@
         if (ix >= cores_.size()) cores_.resize(ix + 1), records_.resize(ix + 1);
     }
     const Core& core(uint32_t ix) const { return cores_[ix]; }
-    // Of one that is whole the whole's part changes too, so that nothing is known twice.
+    // Changes the core, and its copy in the record if that is loaded.
     template <class Change>
     void updateCore(uint32_t ix, Change change) {
         ensureSize(ix);
         change(cores_[ix]);
         if (records_[ix]) change(records_[ix]->core);
     }
+    // Loads the record if necessary.
     Record& operator[](uint32_t ix) {
         ensureSize(ix);
         if (records_[ix]) return *records_[ix];
@@ -34,6 +35,7 @@
         if constexpr (requires(Record & record) { record.onLoaded(); }) records_[ix]->onLoaded();
         return *records_[ix];
     }
+    // The record, or null if it isn't loaded.
     Record* find(uint32_t ix) const { return ix < records_.size() ? records_[ix].get() : nullptr; }
     void unload(uint32_t ix) {
         if (!find(ix)) return;
--- a/src/index/revenue.hpp
+++ b/src/index/revenue.hpp
@@ -1,4 +1,4 @@
-// What a text earns if it is delivered at some instant: the settings' arithmetic.
+// Revenue of a text by the time of its delivery, as the settings define it.
 #pragma once
 
 #include <algorithm>
--- a/src/index/round_robin_set.hpp
+++ b/src/index/round_robin_set.hpp
@@ -1,4 +1,4 @@
-// Small indices that wait for their turn: a few at a time, all of them in time, each step a logarithm.
+// A set of small indices that is visited in batches, so that each index gets its turn. Operations take log time.
 #pragma once
 
 #include <cstddef>
@@ -15,7 +15,7 @@
     bool empty() const { return set_.empty(); }
     size_t size() const { return set_.size(); }
 
-    // Up to so many, in the order of their indices: all where there are no more, else those whose turn it is.
+    // Writes up to `most` indices to `into`: all in ascending order if there are no more, else the next ones in turn.
     void nextBatch(size_t most, std::vector<uint32_t>& into) {
         into.clear();
         if (set_.size() <= most) {
--- a/src/index/texts.hpp
+++ b/src/index/texts.hpp
@@ -1,4 +1,4 @@
-// Records of the texts held, of the calls that carry them, and of what falls due.
+// Records of held texts, of the calls that carry them, and of timers.
 #pragma once
 
 #include <list>
@@ -8,8 +8,8 @@
 
 namespace petrelpond::index {
 
-// What falls due: a look round, a text's last chance of an answer, an idle connection's end.
-enum class TimerKind { recheck, textExpiry, idleConnection };
+// Reconsider a destination, give a text its final answer before it expires, or close an endpoint's idle connections.
+enum class TimerKind { recheck, textExpiry, idleClose };
 using Timer = std::tuple<Instant, TimerKind, uint32_t>;
 
 struct Text {
@@ -20,8 +20,8 @@
     EndpointIndex endpoint;
     int64_t call = 0;
     int submits = 0;
-    std::list<TextIndex>::iterator queuePosition;  // where it waits
-    // As an earlier life of the sender left it.
+    std::list<TextIndex>::iterator queuePosition;  // in its destination's queue
+    // Restores the progress made before a restart of the sender.
     void restoreFromArrival() {
         submits = arrival.submits, ranInZone = arrival.ranInZone, mayHaveRun = arrival.mayHaveRunSince.has_value();
         firstMayHaveRun = arrival.mayHaveRunSince.value_or(Instant::never());
@@ -30,8 +30,8 @@
 };
 
 struct Call {
-    int texts = 0, ended = 0;  // ended: of its texts
-    double load = 1;           // beside a call with one text; each further one adds a little (ours)
+    int texts = 0, ended = 0;  // texts still in flight, and results received
+    double load = 1;           // relative to a call with one text; each further text adds 0.2
 };
 
 }  // namespace petrelpond::index
--- a/src/index/wait_queues.hpp
+++ b/src/index/wait_queues.hpp
@@ -1,12 +1,13 @@
-// Who is to be looked at now, and who waits for what. An index is in one row at most; who is parked for an
-// instant alone is in none.
+// Queues of indices by what they wait for. An index is in one queue at most; one that only waits for a point in time
+// is in none.
 #pragma once
 
 #include "src/index/round_robin_set.hpp"
 
 namespace petrelpond {
 
-enum class WaitReason : uint8_t { ready, slot, retryCredit, key, none };
+// ready: to be considered now; slot: a free call slot; credit: credit for a retry; key: its key's hold to end.
+enum class WaitReason : uint8_t { ready, slot, credit, key, none };
 
 class WaitQueues {
   public:
@@ -20,13 +21,13 @@
     }
     void markReady(uint32_t ix) { park(ix, WaitReason::ready); }
     void remove(uint32_t ix) { park(ix, WaitReason::none); }
-    // Up to so many of a row get their look, in turn.
-    void releaseSome(WaitReason which, size_t most) {
+    // Makes up to `most` indices of a queue ready, in turn.
+    void release(WaitReason which, size_t most) {
         if (queue(which).empty()) return;
         queue(which).nextBatch(most, released_);
         for (uint32_t ix : released_) markReady(ix);
     }
-    void releaseAll(WaitReason which) { releaseSome(which, queue(which).size()); }
+    void releaseAll(WaitReason which) { release(which, queue(which).size()); }
 
   private:
     RoundRobinSet queues_[4];
--- a/src/policy/endpoint_choice.cpp
+++ b/src/policy/endpoint_choice.cpp
@@ -1,4 +1,4 @@
-// Which endpoint gets a call: one with room, at a place that may be called, not far slower than its fellows.
+// Chooses the endpoint of a call by free capacity, the limits of its group, and its speed compared with its peers.
 #include "src/policy/logic.hpp"
 
 namespace petrelpond::policy {
@@ -12,7 +12,7 @@
     return best;
 }
 
-// Drawn by room among those whose place may have a call now.
+// Random choice weighted by free capacity, among endpoints whose limit group may have a call now.
 EndpointIndex Logic::drawEndpoint(Instant now, const Destination& d) {
     EndpointIndex drawn;
     double sum = 0;
@@ -25,12 +25,12 @@
     return drawn;
 }
 
-// Room at an endpoint for one more call, zero if it may not have one.
+// The endpoint's free capacity in calls, as a weight; zero if it may not have another call.
 double Logic::freeCapacity(Instant now, const Endpoint& e) {
     if (!e.core.usable()) return 0;
     LimitGroup& g = groups_[e.core.group];
-    if (now < g.retryAfterUntil) return recheckBy(g.retryAfterUntil);
-    if (now < e.connectBackoffUntil) return recheckBy(e.connectBackoffUntil);
+    if (now < g.waitUntil) return recheckBy(g.waitUntil);
+    if (now < e.connectAfter) return recheckBy(e.connectAfter);
     double out = e.inFlight.liveCount();
     bool down = g.outage.phase == Phase::down;
     if (down || e.probeRate > 0) {
@@ -38,16 +38,17 @@
         if (now < at) return recheckBy(at);
         return (down ? g.inFlight : e.inFlight).liveCount() > 0 ? 0 : 1;
     }
-    // Where calls carry many texts, what comes meanwhile travels with the next: limits count calls.
+    // Limits count calls, so texts that arrive during a batch call gather for the next one.
     size_t waiting = destination(e.core.destination).waiting.size();
     if (out > 0 && waiting < static_cast<size_t>(kindState(e).kind.batch)) return 0;
     double room = e.concurrencyLimit - out;
     if (room < 1 && out > 0) return 0;
     if (e.core.zone != senderGroup_.zone) room *= 0.5;
-    if (e.core.ownGroup && g.fleetRate() > 0) return g.fleetRate();  // their limits differ
+    if (e.core.ownGroup && g.fleetRate() > 0) return g.fleetRate();  // separate routes differ in their limits
     room = std::max(room, 1.0);
-    // A connection that lies idle is room at hand: it saves a handshake, and a place in a full table.
-    bool idle = e.inFlight.starts.empty() && now - e.lastUsedAt < std::min(kindState(e).idle.timeout, connections_.idleTimeout);
+    // An idle connection saves a handshake, and an entry in a connection table that may be full.
+    bool idle = e.inFlight.starts.empty() && now - e.usedAt <
+                std::min(kindState(e).idle.timeout, connections_.idleTimeout);
     double tight = limits_.maxCalls > 0 ? static_cast<double>(callsInFlight_) / limits_.maxCalls : 0;
     room *= std::pow(typicalCallTime_ / std::max(e.times.mean(0, typicalCallTime_), 0.001), 6 * tight);
     return isLargeGroup() && idle ? room * 3 : room;
@@ -61,14 +62,14 @@
     recheckBy(g.bucket.nextTokenAt);
     if (e.core.ownGroup) return false;
     Destination& d = destination(e.core.destination);
-    size_t all = d.waiting.size(), last = d.expiryCheckedFor == g.bucket.nextTokenAt ? std::min(d.expiryUnchecked, all) : all;
+    size_t all = d.waiting.size(), last = d.checkedUntil == g.bucket.nextTokenAt ? std::min(d.unchecked, all) : all;
     for (auto t = std::prev(d.waiting.end(), static_cast<long>(last)); t != d.waiting.end(); ++t)
         if (texts_.at(t->value).arrival.validUntil < g.bucket.nextTokenAt) unsendable_.push_back(*t);
-    d.expiryCheckedFor = g.bucket.nextTokenAt, d.expiryUnchecked = 0;
+    d.checkedUntil = g.bucket.nextTokenAt, d.unchecked = 0;
     return false;
 }
 
-// A high quantile of each endpoint's answer times against its fellows'.
+// Compares a high quantile of each endpoint's answer times with the median of its peers'.
 void Logic::demoteSlowEndpoints(Instant now, const Destination& d) {
     if (d.endpoints.size() < 2) return;
     for (uint32_t i : d.endpoints) {
@@ -85,13 +86,13 @@
         auto median = peerTimes_.begin() + static_cast<long>(peerTimes_.size() / 2);
         std::nth_element(peerTimes_.begin(), median, peerTimes_.end());
         if (own > 4 * *median) demote(now, e);
-        if (own > 4 * *median || e.inFlight.liveCount() <= 0) continue;  // else looked at when it would be too slow
+        if (own > 4 * *median || e.inFlight.liveCount() <= 0) continue;  // else rechecked when it would be too slow
         recheckBy(std::max(*e.inFlight.firstLive() + Span::seconds(4 * *median), now) + Span::millis(1));
     }
 }
 
 void Logic::demote(Instant now, Endpoint& e) {
-    // A busy place misses an endpoint more, and learns sooner that it is well.
+    // A busy group needs the endpoint more, and its faster probes notice a recovery sooner.
     double first = std::max(0.5, 0.05 * groups_[e.core.group].deliveries.rate(now, Span::seconds(2)));
     e.probeRate = e.probeRate > 0 ? std::max(e.probeRate / 2, 0.2 * first) : first;
     e.nextProbeAt = now + random_.jittered(Span::seconds(0.75 / e.probeRate));
--- a/src/policy/endpoint_state.cpp
+++ b/src/policy/endpoint_state.cpp
@@ -1,16 +1,17 @@
-// What is known of who is listed: new lists, out of use and back, at rest, handed to another process.
+// State of listed endpoints: new lists, disabling by operators, unloading when idle, transfer to another process.
 #include "src/policy/logic.hpp"
 
 namespace petrelpond::policy {
 
 void Logic::onEndpointList(Instant, ListScope scope, const std::vector<ListEntry>& entries) {
     if (scope != ListScope::cached) listFailures_ = 0;
-    applyList(scope, entries, listRule_.includesRates, [&](KindIndex kind) { return kindState(kind).kind.separateRoutes; });
+    applyList(scope, entries, listRule_.includesRates,
+              [&](KindIndex kind) { return kindState(kind).kind.separateRoutes; });
     for (const ListEntry& entry : entries) markReady(entry.destination.value);
 }
 
-// Given back it is cold: a place with no other endpoint comes back by a trial and its budget, one among
-// fellows by the trickle of one set aside. Harm: one that kept warm waits.
+// An endpoint that is enabled again counts as cold: alone in its group it gets a trial and the recovery rate, with
+// peers the probe rate of a demoted endpoint. Drawback: one that stayed warm waits too.
 void Logic::setEndpointDisabled(Instant now, EndpointIndex ix, bool disabled) {
     endpoints_.updateCore(ix.value, [&](EndpointCore& e) { e.disabled = disabled; });
     DestinationIndex d = endpoints_.core(ix.value).destination;
@@ -18,14 +19,14 @@
     if (disabled || !d.isKnown()) return;
     Endpoint& e = endpoints_[ix.value];
     LimitGroup& g = groups_[e.core.group];
-    e.times = AnswerTimes(), e.failuresInRow = 0;
+    e.times = AnswerTimes(), e.failures = 0;
     for (uint32_t i : destination(d).endpoints)
         if (i != ix.value && endpoints_[i].core.group == e.core.group && endpoints_[i].core.usable())
             return demote(now, e);
     g.outage.onRestarted(now, g.fairShare(now, senderGroup_.senders), isLargeGroup(), coldStart_, random_);
 }
 
-// Jittered, as all may break at once; sooner than we are deemed told, so that drains are kept.
+// Jittered, as many may fail at once. Well before this sender counts as informed, so that drains are respected.
 void Logic::onEndpointListFailed(Instant now) {
     if (!listRule_.changesOnRequest) return;
     double pause = std::min(0.4 * std::pow(2, listFailures_++), 4.0);
@@ -33,11 +34,10 @@
     requestListAt_ = now + random_.jittered(Span::seconds(pause));
 }
 
-// Silent for a minute, a destination goes back to its seed. Harm: answer times are learned anew, and what
-// one without a known rate was thought to take.
+// Unloads a destination idle for a minute. Drawback: answer times, and rates of unknown limits, are learned again.
 void Logic::unloadIfIdle(Instant now, uint32_t ix) {
     Destination* d = destinations_.find(ix);
-    if (!d || !d->waiting.empty() || now - d->lastUsedAt < Span::seconds(60)) return;
+    if (!d || !d->waiting.empty() || now - d->usedAt < Span::seconds(60)) return;
     for (uint32_t e : d->endpoints)
         if (const Endpoint* at = endpoints_.find(e); at && !at->inFlight.starts.empty()) return;
     for (uint32_t e : d->endpoints) {
@@ -45,15 +45,15 @@
         endpoints_.unload(e);
         const LimitGroup* g = groups_.find(group);
         if (!g) continue;
-        bool well = g->outage.phase != Phase::down && g->retryAfterUntil <= now && g->bucket.rateTrust >= 1;
-        auto saved = std::make_shared<const SavedState>(g->outage, g->retryAfterUntil, g->bucket.rateTrust, g->reportedRate);
+        bool well = g->outage.phase != Phase::down && g->waitUntil <= now && g->bucket.trust >= 1;
+        auto saved = std::make_shared<const SavedState>(g->outage, g->waitUntil, g->bucket.trust, g->reportedRate);
         if (well && g->reportedRate <= 0) saved = nullptr;
         groups_.updateCore(group, [&](LimitGroupCore& core) { core.saved = saved; }), groups_.unload(group);
     }
     destinations_.unload(ix);
 }
 
-// Times from now. What the process that takes over has seen itself since stays where it is the worse.
+// Times are relative to now. On import, what the importing process has seen itself is kept where it is the worse.
 std::vector<double> Logic::exportEndpointState(Instant now, EndpointIndex ix) {
     uint32_t at = groupOf(ix);
     if (at == kNone || (!groups_.find(at) && !groups_.core(at).saved)) return {};
@@ -62,8 +62,8 @@
     const OutageTracker& outage = g.outage;
     auto from = [&](Instant t) { return std::max((t - now).inSeconds(), -1e6); };
     double limitedRate = g.bucket.limited ? g.bucket.rate : 0, phase = static_cast<double>(outage.phase);
-    return {from(g.retryAfterUntil), phase, from(outage.downSince), from(outage.nextTrialAt), from(outage.recoveringSince),
-            outage.shareBefore,          limitedRate, g.bucket.rateTrust, g.reportedRate,  e.probeRate};
+    return {from(g.waitUntil), phase, from(outage.downSince), from(outage.nextTrialAt), from(outage.upSince),
+            outage.shareBefore, limitedRate, g.bucket.trust, g.reportedRate, e.probeRate};
 }
 
 bool Logic::importEndpointState(Instant now, EndpointIndex ix, const std::vector<double>& l) {
@@ -71,13 +71,13 @@
     auto at = [&](size_t i) { return now + Span::seconds(l[i]); };
     Endpoint& e = endpoints_[ix.value];
     LimitGroup& g = groups_[e.core.group];
-    g.retryAfterUntil = std::max(g.retryAfterUntil, at(0)), g.reportedRate = std::max(g.reportedRate, l[8]);
+    g.waitUntil = std::max(g.waitUntil, at(0)), g.reportedRate = std::max(g.reportedRate, l[8]);
     if (l[1] > 0 && g.outage.phase == Phase::normal)
         g.outage.phase = l[1] < 2 ? Phase::down : Phase::recovering, g.outage.downSince = at(2),
-        g.outage.nextTrialAt = at(3), g.outage.recoveringSince = at(4), g.outage.shareBefore = l[5];
-    if (l[6] > 0) g.bucket.startLimiting(now, l[6], random_), g.bucket.rateTrust = std::min(g.bucket.rateTrust, l[7]);
+        g.outage.nextTrialAt = at(3), g.outage.upSince = at(4), g.outage.shareBefore = l[5];
+    if (l[6] > 0) g.bucket.startLimiting(now, l[6], random_), g.bucket.trust = std::min(g.bucket.trust, l[7]);
     if (l[9] > 0 && e.probeRate <= 0) e.probeRate = l[9], e.nextProbeAt = now + Span::seconds(1 / l[9]);
-    return markReady(e.core.destination.value), now < g.retryAfterUntil;
+    return markReady(e.core.destination.value), now < g.waitUntil;
 }
 
 std::string Logic::describeEndpoint(Instant now, EndpointIndex ix) const {
@@ -86,8 +86,8 @@
     const char* phase[] = {"clear", "down", "returning"};
     std::string words = phase[static_cast<int>(g->outage.phase)];
     double rate = g->bucket.limited ? g->bucket.rate : 0, fairShare = g->fleetRate() / senderGroup_.senders;
-    for (double x : {rate, g->bucket.rateTrust, fairShare}) words += '/' + std::to_string(x);
-    return words + (now < g->retryAfterUntil ? "/told" : "/free");
+    for (double x : {rate, g->bucket.trust, fairShare}) words += '/' + std::to_string(x);
+    return words + (now < g->waitUntil ? "/told" : "/free");
 }
 
 }  // namespace petrelpond::policy
--- a/src/policy/resend.cpp
+++ b/src/policy/resend.cpp
@@ -1,10 +1,11 @@
-// What may have run, what may go, or go again, and what is answered where nothing may.
+// Which texts may be submitted or resubmitted, and the final answer of those that may not.
 #include "src/policy/logic.hpp"
 
 namespace petrelpond::policy {
 
 void Logic::recordMayHaveRun(Instant now, Text& t, SubmitStatus status) {
-    if (status != SubmitStatus::error && status != SubmitStatus::timeout && status != SubmitStatus::reset && status != SubmitStatus::cancelled) return;
+    if (status != SubmitStatus::error && status != SubmitStatus::timeout && status != SubmitStatus::reset &&
+        status != SubmitStatus::cancelled) return;
     if (!t.mayHaveRun) t.firstMayHaveRun = t.started, t.ranInZone = endpoints_[t.endpoint.value].core.zone;
     t.mayHaveRun = true;
     if (inOrder(t) && status != SubmitStatus::error) holdKey(now, t);
@@ -25,12 +26,12 @@
 
 bool Logic::maySubmitTo(const Text& t, Instant now, const Endpoint& e) const {
     if (!maySubmitAgain(now, t)) return false;
-    bool tied = t.mayHaveRun && t.product->effect == Effect::idempotencyKey && t.product->dedupPerZone;
-    if (tied && e.core.zone != t.ranInZone) return false;
+    bool zoneBound = t.mayHaveRun && t.product->effect == Effect::idempotencyKey && t.product->dedupPerZone;
+    if (zoneBound && e.core.zone != t.ranInZone) return false;
     return !inOrder(t) || keyOrder_.maySubmit(*t.arrival.key, t.arrival.text, now);
 }
 
-// Cutting what may be sent again buys a retry. Bounded, as time-outs raise what they are set by.
+// Cutting a call that may be repeated leaves time for a retry. Bounded, as time-outs raise the times it is set by.
 Span Logic::timeout(Instant now, const Text& t, const LimitGroup& g, double load) const {
     if (t.product->effect == Effect::nonIdempotent) return Span();
     double sla = t.product->sla.inSeconds();
@@ -41,8 +42,8 @@
 
 Decision Logic::finalAnswer(Instant now, Text& t) {
     Decision d = Undeliverable{t.arrival.text};
-    bool over = now + answerMargin() >= t.arrival.validUntil;
-    if (mayNack(t)) d = Nack{t.arrival.text, over ? Span() : limits_.maxNackPause};
+    bool expired = now + answerMargin() >= t.arrival.validUntil;
+    if (mayNack(t)) d = Nack{t.arrival.text, expired ? Span() : limits_.maxNackPause};
     dequeue(t), removeText(t.arrival.text);
     return d;
 }
--- a/src/policy/text_choice.cpp
+++ b/src/policy/text_choice.cpp
@@ -1,4 +1,4 @@
-// Which text goes first, and which goes for want of room, in the store or among the calls.
+// Which text is sent first, and which text or call is given up when the store or the call slots are full.
 #include "src/policy/logic.hpp"
 
 namespace petrelpond::policy {
@@ -7,7 +7,7 @@
     if (!maySubmitAgain(now, t)) return unsendable_.push_back(t.arrival.text);
     Destination& d = destination(t.arrival.destination);
     t.queuePosition = d.waiting.insert(d.waiting.end(), t.arrival.text), t.queued = true;
-    ++d.expiryUnchecked, d.lastUsedAt = now;
+    ++d.unchecked, d.usedAt = now;
     withWaiting_.insert(t.arrival.destination.value), markReady(t.arrival.destination.value);
 }
 
@@ -30,21 +30,21 @@
     textsInFlight_.erase(ix), texts_.erase(ix.value);
 }
 
-// Past a quarter of a store that is half full a backlog's oldest or newest goes, as it earns less.
+// In a store that is half full, a backlog above a quarter gives up its oldest or newest text, whichever earns less.
 void Logic::limitBacklog(Instant now, Text& text) {
     auto& backlog = destination(text.arrival.destination).waiting;
     size_t most = limits_.maxTexts > 0 ? limits_.maxTexts : SIZE_MAX / 4;
     if (2 * texts_.size() <= most || 4 * backlog.size() <= most) return;
     Text& oldest = texts_.at(backlog.front().value);
     Instant then = now + limits_.maxNackPause;
-    Text& goes = mayNack(oldest) && revenue(oldest, then) < revenue(text, then) ? oldest : text;
-    unsendable_.push_back(goes.arrival.text), dequeue(goes);
+    Text& dropped = mayNack(oldest) && revenue(oldest, then) < revenue(text, then) ? oldest : text;
+    unsendable_.push_back(dropped.arrival.text), dequeue(dropped);
 }
 
-// Its best text against the best so far of the destinations compared.
+// Compares the destination's best text with the best of the destinations compared so far.
 void Logic::offerBestText(Instant now, const Destination& d, EndpointIndex at, double takes) {
     const Endpoint& e = endpoints_[at.value];
-    bool trial = groups_[e.core.group].outage.phase == Phase::down, unpaid = false, ordered = false;
+    bool trial = groups_[e.core.group].outage.phase == Phase::down, noCredit = false, keyed = false;
     Instant soon = now + Span::seconds(takes);
     Span backlog = Span::seconds(std::clamp(static_cast<double>(d.waiting.size()) * takes, 1.0, 8.0));
     int compared = 0;
@@ -53,28 +53,28 @@
     for (TextIndex each : d.waiting) {
         if (++compared > kMaxTexts && text.isKnown()) break;
         const Text& t = texts_.at(each.value);
-        ordered |= inOrder(t);
+        keyed |= inOrder(t);
         if (!maySubmitTo(t, now, e)) continue;
-        // Of what fails, no more than what others deliver: the work wasted stays bounded (ours).
-        bool mayPay = retryCredit_ >= 1 || (!trial && t.submits == 0);
-        unpaid |= !mayPay;
-        if (!mayPay) continue;
-        // What passing it over until the backlog has gone loses; a little for what it earns at all.
+        // Retries and trials spend credit that deliveries earn, so that the wasted work stays bounded.
+        bool hasCredit = retryCredit_ >= 1 || (!trial && t.submits == 0);
+        noCredit |= !hasCredit;
+        if (!hasCredit) continue;
+        // The revenue lost by waiting until the backlog is sent, and a little for what the text earns at all.
         double score = (1.05 * revenue(t, soon) - revenue(t, soon + backlog)) / takes;
-        if (trial) score *= std::pow(0.5, t.submits);  // else one text uses up its submits
+        if (trial) score *= std::pow(0.5, t.submits);  // else one text would use up its submits
         if (score > own) own = score, text = each;
     }
     uint32_t ix = e.core.destination.value;
-    if (!text.isKnown()) return unpaid ? park(ix, WaitReason::retryCredit) : ordered ? park(ix, WaitReason::key) : void();
+    if (!text.isKnown()) return noCredit ? park(ix, WaitReason::credit) : keyed ? park(ix, WaitReason::key) : void();
     if (own > bestScore_) bestScore_ = own, bestEndpoint_ = at, bestText_ = text;
 }
 
-// Before the store is full, the text that will earn least once the backlog has gone makes room, told when
-// to come back. Harms where that would have cleared sooner.
+// Before the store is full, nacks the text that will earn least once the backlog is sent, with the time to come back.
+// Drawback: the backlog may be sent sooner than estimated.
 std::optional<Decision> Logic::evictText(Instant now) {
     int spare = limits_.maxTexts - static_cast<int>(texts_.size());
     if (limits_.maxTexts <= 0 || spare >= 2 + limits_.maxTexts / 20) return std::nullopt;
-    std::vector<std::tuple<double, TextIndex, double>> all;  // what it will earn, when the backlog has gone
+    std::vector<std::tuple<double, TextIndex, double>> all;  // future revenue, text, seconds of backlog
     for (uint32_t ix : withWaiting_) {
         const Destination& d = destination(DestinationIndex(ix));
         double rate = 0;
@@ -88,7 +88,7 @@
         }
     }
     if (all.empty()) return std::nullopt;
-    // A big store makes room for some at a time: looking through it costs.
+    // A large store evicts several at a time, as the search is expensive.
     size_t some = std::min<size_t>(all.size(), 1 + static_cast<size_t>(limits_.maxTexts) / 2000);
     std::partial_sort(all.begin(), all.begin() + static_cast<long>(some), all.end());
     for (size_t i = 0; i < some; ++i) {
@@ -100,7 +100,7 @@
     return decisions_.pop_back(), first;
 }
 
-// Slow destinations get fewer of the free slots: none that is hung gets all.
+// Slow destinations get fewer of the free slots, so that a hung one can't take all.
 bool Logic::mayTakeSlot(const Destination& d, double takes) {
     if (limits_.maxCalls <= 0) return true;
     double alpha = std::clamp(2 * typicalCallTime_ / std::max(takes, 0.001), 0.25, 4.0), out = 0;
@@ -108,9 +108,9 @@
     return out < std::max(1.0, alpha * (limits_.maxCalls - callsInFlight_));
 }
 
-// All slots are out and a text could go: the call most overdue, past its SLA time, is given up, against
-// hung places and silent connections; sooner where overdue calls were mostly never answered, or it is
-// long overdue and calls begun long after it were answered there. Harms one that would still answer.
+// All slots are taken and a text could be sent: cancels the most overdue call past its SLA time, against hung
+// destinations and silent connections. Sooner if overdue calls were mostly never answered, or if calls started long
+// after it have been answered there. Drawback: the cancelled call might still have been answered.
 void Logic::cancelOverdueCall(Instant now) {
     if (!limits_.canCancel) return;
     const Text* stuck = nullptr;
@@ -122,11 +122,11 @@
         const Endpoint& e = endpoints_[t.endpoint.value];
         const LimitGroup& g = groups_[e.core.group];
         double after = overdueAfter(g, calls_[t.call].load);
-        bool overtaken = age > 2 * after && e.inFlight.latestAnsweredStart > t.started + Span::seconds(after);
+        bool overtaken = age > 2 * after && e.inFlight.answeredStart > t.started + Span::seconds(after);
         double overdue = age / (g.times.highQuantile * calls_[t.call].texts + 0.001);
-        bool dear = t.product->effect == Effect::nonIdempotent, keep = dear && g.outage.phase == Phase::down;
+        bool once = t.product->effect == Effect::nonIdempotent, keep = once && g.outage.phase == Phase::down;
         bool hopeless = (overtaken || overdueAnswerShare_ < 0.3) && !keep && age > after;
-        if (hopeless) overdue = dear ? 7 : 100;
+        if (hopeless) overdue = once ? 7 : 100;
         if (overdue > most && (hopeless || age > t.product->sla.inSeconds())) most = overdue, stuck = &t;
     }
     if (!stuck) return;
--- a/src/policy/token_bucket.hpp
+++ b/src/policy/token_bucket.hpp
@@ -1,4 +1,4 @@
-// The design's one-token bucket, and the chance that spreads what would else happen in step.
+// A token bucket, and the random source that keeps senders from acting in step.
 #pragma once
 
 #include <algorithm>
@@ -14,40 +14,40 @@
     Span jittered(Span s) { return s * uniform(0.75, 1.25); }
 };
 
-// The design's bucket: one token, bound only by a refusal as full or a told wait.
+// Holds one token at most. It limits nothing until a rejection as overloaded or a requested wait activates it.
 struct TokenBucket {
     bool limitedSince(Instant started) const { return limited && started >= limitedAt; }
-    // A call that left before the last cut says nothing of the cut rate; the floor under the slice is ours.
+    // A call that started before the last cut says nothing about the reduced rate. The fair share is a floor.
     void onRejected(Instant now, Instant started, double base, double fairShare, bool known, Random& random) {
         startLimiting(now, base, random);
         if (started < lastCutAt) return;
-        // Refused again at its slice with nothing delivered between: the limit is lower than listed.
-        if (!deliveredSinceCut && rate <= fairShare * rateTrust) rateTrust = std::max(0.7 * rateTrust, 0.1);
+        // Rejected again at its fair share with no delivery in between: the limit is lower than the listed one.
+        if (!deliveredSinceCut && rate <= fairShare * trust) trust = std::max(0.7 * trust, 0.1);
         deliveredSinceCut = false;
-        rate = std::max(rate / 2, known ? 0.95 * fairShare * rateTrust : 1.0);
+        rate = std::max(rate / 2, known ? 0.95 * fairShare * trust : 1.0);
         lastCutAt = lastRaisedAt = now;
     }
     void onRetryAfter(Instant now, Instant until, double base, bool thinShare, Random& random) {
         startLimiting(now, base, random);
-        // The thinner the slice, the more may be waiting for the same moment.
+        // The smaller the fair share, the more senders may be waiting for the same moment.
         Span spread = thinShare ? (until - now) * random.uniform(0, 1) : Span();
         nextTokenAt = std::max(nextTokenAt, until + jitter(random) + spread);
     }
-    // A busy sender may use what idle ones leave, as its successes show; past its slice by small steps.
-    // A reported share that is left is trusted at once, as a thin slice climbs slowly. Harm: all take it.
+    // A busy sender may use what idle ones leave: deliveries raise its rate, above its fair share in small steps.
+    // A reported unused share is used at once, as a small fair share grows slowly. Drawback: all senders take it.
     void onDelivered(Instant now, double fairShare, double ceiling, double left) {
         deliveredSinceCut = true;
         if (!limited || now - lastRaisedAt < Span::seconds(1)) return;
-        rateTrust = std::min(1.0, std::max(rateTrust + 0.03, left));
+        trust = std::min(1.0, std::max(trust + 0.03, left));
         rate = std::max(rate, fairShare * left);
-        rate = std::min(rate * (rate < fairShare * rateTrust ? 1.25 : 1.05), std::max(ceiling, 1.0));
+        rate = std::min(rate * (rate < fairShare * trust ? 1.25 : 1.05), std::max(ceiling, 1.0));
         lastRaisedAt = now;
     }
-    // The caller takes the token; a cap from outside (a cold place's) paces by it. A wait is a microsecond
-    // or more: one that came to none was looked for in the same instant for ever. A rate that climbed past
-    // 100,000, as no limit is known, holds nothing back. Harm: a limit beyond that is not kept.
+    // Whether a call may start; the caller takes the token. `cap` (of a recovering group) limits the rate too. A wait
+    // is 1 us at least, as one of zero would be rechecked at the same instant forever. A rate that grew past 100,000
+    // per second, because no limit is known, deactivates the bucket. Drawback: a limit above that is not kept.
     bool hasToken(Instant now, double cap, Random& random) {
-        if (limited && (rate > 1e5 || now - std::max(lastHeldAt, nextTokenAt) > Span::seconds(10))) *this = TokenBucket();
+        if (limited && (rate > 1e5 || now - std::max(heldAt, nextTokenAt) > Span::seconds(10))) *this = TokenBucket();
         if (!limited && cap <= 0) return true;
         double pace = limited ? rate : cap;
         if (cap > 0) pace = std::min(pace, cap);
@@ -55,12 +55,12 @@
         tokens = std::min(1.0, tokens + (now - refilledAt).inSeconds() * pace), refilledAt = now;
         if (tokens >= 1) return true;
         nextTokenAt = now + std::max(Span::seconds((1 - tokens) / pace) + jitter(random), Span::micros(1));
-        return lastHeldAt = now, false;
+        return heldAt = now, false;
     }
 
-    // A refusal does not say where in its turn a sender was: with a thin slice it may be anywhere.
+    // A rejection doesn't tell how full the token was; with a small fair share it may be anywhere between 0 and 1.
     void startLimiting(Instant now, double base, Random& random) {
-        lastHeldAt = now;
+        heldAt = now;
         if (limited) return;
         limited = true, rate = base, tokens = base < 0.5 ? random.uniform(0, 1) : 0;
         refilledAt = lastRaisedAt = limitedAt = now;
@@ -70,9 +70,9 @@
     }
 
     bool limited = false, deliveredSinceCut = true;
-    double rate = 0, tokens = 1, rateTrust = 1;
+    double rate = 0, tokens = 1, trust = 1;
     Instant refilledAt = Instant::longAgo(), lastRaisedAt, limitedAt, lastCutAt = Instant::longAgo();
-    Instant nextTokenAt = Instant::longAgo(), lastHeldAt = Instant::longAgo();
+    Instant nextTokenAt = Instant::longAgo(), heldAt = Instant::longAgo();
 };
 
 }  // namespace petrelpond::policy
--- a/tests/logic_test.cpp
+++ b/tests/logic_test.cpp
@@ -10,7 +10,7 @@
     return set;
 }
 
-TEST_CASE("an unbound destination is not paced; a refusal as full binds its bucket") {
+TEST_CASE("a destination is not rate-limited until a rejection as overloaded activates its bucket") {
     Rig rig(unlimited());
     rig.endpoints(0, 0, 1, 0, 8);  // 8 calls a second listed, 2 senders: 4 a second each
     for (int i = 0; i < 3; ++i) rig.text(0, 0);
@@ -19,16 +19,16 @@
     rig.now = rig.now + Span::millis(50);
     for (const Submit& s : first) rig.end(s, SubmitStatus::overloaded);
     REQUIRE(rig.pull() == 0);
-    // Halved once for the three that left together: 2 a second and jitter, so about 4 in 3 s.
+    // Halved once for the three calls that started together: 2 per second with jitter, so about 4 in 3 s.
     for (int i = 0; i < 20; ++i) rig.text(0, 0);
     auto sent = rig.run(Span::seconds(3));
     CHECK(sent.size() >= 2);
     CHECK(sent.size() <= 6);
 }
 
-// Deliveries raise a bound rate by a quarter a second, and clumps keep it bound: past a million a second the next
-// token was due within a microsecond, which came to nothing, and the module looked for it in the same instant for ever.
-TEST_CASE("a place without a limit that stays bound for minutes ends no round with a wake-up due at once") {
+// Deliveries raise a limited rate by a quarter each second, and bursts keep the bucket active. Above a million per
+// second the wait for the next token rounded to zero, and the module rechecked at the same instant forever.
+TEST_CASE("a bucket without a known limit that stays active for minutes asks for no wake-up at the current instant") {
     Rig rig(unlimited(), GENERATE(1u, 2u, 3u));
     rig.endpoints(0, 0, 2);
     rig.text(0, 0);
@@ -38,7 +38,7 @@
     for (int clump = 0; clump < 3000; ++clump) {
         for (int i = 0; i < 3; ++i) rig.text(0, 0), ++handed;
         std::vector<Submit> out;
-        // Looked at each microsecond, a token is found at any part of the way to the next.
+        // Checks each microsecond, so that the token is found at any stage of its refill.
         for (int i = 0; i < 40; ++i) {
             rig.pull();
             out.insert(out.end(), rig.submits.begin(), rig.submits.end());
@@ -48,12 +48,12 @@
         for (const Submit& s : out) rig.end(s, SubmitStatus::delivered), ++delivered;
     }
     CHECK(delivered > handed / 2);
-    // Long let go, it holds nothing back any more.
+    // The bucket was deactivated long ago and limits nothing any more.
     for (int i = 0; i < 4; ++i) rig.text(0, 0);
     CHECK(rig.pull() == 4);
 }
 
-TEST_CASE("a sender that decides without end at one instant is left, and goes on as the clock does") {
+TEST_CASE("pulling stops at a sender that decides endlessly at one instant, and continues once the clock advances") {
     struct Spinning final : Sender {
         Instant until;
         void onArrival(Instant, const Arrival&) override {}
@@ -75,7 +75,7 @@
     CHECK(decided == 1000);
 }
 
-TEST_CASE("a told wait holds every text to that destination, and no other") {
+TEST_CASE("a requested wait holds back all texts to that destination and to no other") {
     Rig rig;
     rig.endpoints(0, 0, 2);
     rig.endpoints(1, 4, 1);
@@ -98,7 +98,7 @@
     CHECK(routes.submits[0].endpoint != told);
 }
 
-TEST_CASE("a sender that leaves starts no call that would be cut off, and answers as before") {
+TEST_CASE("a sender that shuts down starts no call that would be cut off, and still answers its texts") {
     Rig rig;
     rig.endpoints(0, 0, 1);
     rig.text(0, 2);
@@ -117,7 +117,7 @@
     CHECK(rig.rules.rows[late].answers == 1);
 }
 
-TEST_CASE("a wait told beside a delivery binds as well") {
+TEST_CASE("a requested wait counts in a delivered answer as well") {
     Rig rig;
     rig.endpoints(0, 0, 1);
     rig.text(0, 0);
@@ -128,7 +128,7 @@
     CHECK(rig.run(Span::seconds(2)).size() == 1);
 }
 
-TEST_CASE("what a restart brings back keeps the submits it has used and what may have run") {
+TEST_CASE("a text restored after a restart keeps its used submits and what may have run") {
     Rig rig;
     rig.endpoints(0, 0, 1);
     auto resume = [&](uint32_t product, int submits, std::optional<Instant> mayHaveRun) {
@@ -150,7 +150,7 @@
     std::sort(went.begin(), went.end());
     CHECK(went == std::vector<TextIndex>{fresh, again, known});
     for (TextIndex t : {ran, used, forgotten}) CHECK(rig.rules.rows[t].answers == 1);
-    // A key rests for what may still run, and goes on in order.
+    // A key is held for a submit that may still run, and continues in order.
     Set ordered;
     for (Product& p : ordered.products) p.inOrder = true;
     Rig line(ordered);
@@ -164,8 +164,9 @@
     CHECK(line.run(Span::seconds(1)).size() == 1);
 }
 
-TEST_CASE("once-only is not sent again once it may have run; referenced only inside the memory") {
-    SubmitStatus how = GENERATE(SubmitStatus::error, SubmitStatus::timeout, SubmitStatus::reset, SubmitStatus::cancelled);
+TEST_CASE("a text that may have run is not resent if non-idempotent, and with a key only within its window") {
+    SubmitStatus how = GENERATE(SubmitStatus::error, SubmitStatus::timeout, SubmitStatus::reset,
+                                SubmitStatus::cancelled);
     Rig rig;
     rig.endpoints(0, 0, 1);
     rig.text(0, 2);
@@ -186,7 +187,7 @@
     CHECK(rig.answers<Undeliverable>() == 1);
 }
 
-TEST_CASE("a refused once-only text goes again, and is nacked when its time is up") {
+TEST_CASE("a rejected non-idempotent text is resent, and nacked when its time is up") {
     Rig rig;
     rig.endpoints(0, 0, 1);
     rig.text(0, 2);
@@ -201,7 +202,7 @@
     CHECK(nacks == 1);
 }
 
-TEST_CASE("nothing new goes to a draining endpoint, and a text with none usable is answered in time") {
+TEST_CASE("a draining endpoint gets no new calls, and a text without a usable endpoint is answered in time") {
     Rig rig;
     rig.endpoints(0, 0, 1);
     ListEntry leaving = rig.rules.list[EndpointIndex(0u)];
@@ -214,7 +215,7 @@
     CHECK(rig.rules.rows[TextIndex(0u)].answers == 1);
 }
 
-TEST_CASE("a destination that refuses connections gets single trials, then a budget that warms up") {
+TEST_CASE("a destination that refuses connections gets single trials, then a limited rate that grows") {
     Rig rig(unlimited());
     rig.endpoints(0, 0, 1, 0, 20);
     for (int i = 0; i < 80; ++i) rig.text(0, 0);
@@ -233,7 +234,7 @@
     std::vector<Submit> trial;
     while (trial.empty()) trial = rig.run(Span::millis(5));
     rig.end(trial[0], SubmitStatus::delivered);
-    // 2 senders, capacity 20 or more: all of them may send 2 x 0.2 x 20 = 8 a second at first, this one 4.
+    // 2 senders, a capacity of at least 20: together they may send 2 x 0.2 x 20 = 8 per second at first, this one 4.
     size_t early = 0;
     for (int i = 0; i < 200; ++i) {
         rig.run(Span::millis(5));
@@ -243,7 +244,7 @@
     CHECK(early <= 5);
 }
 
-TEST_CASE("one destination that answers nothing does not get all slots") {
+TEST_CASE("a destination that never answers does not get all slots") {
     Rig rig;
     rig.endpoints(0, 0, 4);
     rig.endpoints(1, 4, 2);
@@ -253,19 +254,19 @@
     CHECK(rig.run(Span::millis(20)).size() >= 1);
 }
 
-TEST_CASE("texts of one batching endpoint travel together") {
+TEST_CASE("texts for an endpoint that takes batches share a call") {
     Rig rig;
     rig.endpoints(0, 0, 1, 2);
     for (int i = 0; i < 7; ++i) rig.text(0, 0);
     REQUIRE(rig.pull() == 5);
     CHECK(rig.submits[0].endpoint == rig.submits[4].endpoint);
     std::vector<Submit> call = rig.submits;
-    CHECK(rig.run(Span::millis(100)).empty());  // what is left gathers until the call is back
+    CHECK(rig.run(Span::millis(100)).empty());  // the rest gathers until the call has ended
     for (const Submit& s : call) rig.end(s, SubmitStatus::delivered);
     CHECK(rig.pull() == 2);
 }
 
-TEST_CASE("texts with one key go one at a time, and the key rests after a time-out") {
+TEST_CASE("texts with one key are sent one at a time, and the key is held after a time-out") {
     Set set;
     set.products[0].inOrder = true;
     Rig rig(set);
@@ -285,11 +286,12 @@
     CHECK(next[0].text == second);
 }
 
-TEST_CASE("late outcomes, unknown products and stale timers do no harm") {
+TEST_CASE("late results, unknown products and stale timers are harmless") {
     Rig rig;
     rig.endpoints(0, 0, 1);
     rig.sender->onSubmitResult(rig.now,
-                      SubmitResult{TextIndex(99u), EndpointIndex(0u), SubmitStatus::delivered, true, {}, {}, {}, false});
+                      SubmitResult{TextIndex(99u), EndpointIndex(0u), SubmitStatus::delivered, true, {}, {}, {},
+                                   false});
     rig.sender->onWithdrawn(rig.now, TextIndex(99u));
     rig.sender->onTimer(rig.now);
     Arrival odd{TextIndex(rig.nextText++), DestinationIndex(0u), ProductIndex(), rig.now + Span::seconds(5), {}};
@@ -321,12 +323,12 @@
     CHECK(record() == record());
 }
 
-TEST_CASE("idle connections are closed sooner after breaks, after failed connects, and among many senders") {
+TEST_CASE("idle connections close sooner after breaks, after failed connects, and in a large group of senders") {
     Set set = unlimited();
     size_t breaks = 0, failed = 0;
-    SECTION("breaks of connections that had idled, which blame no destination") { breaks = 5; }
-    SECTION("a connection that could not be had at an endpoint that delivers") { failed = 1; }
-    SECTION("hundreds of senders would fill the tables") { set.crew.senders = 200; }
+    SECTION("breaks of idle connections, which are no fault of the destination") { breaks = 5; }
+    SECTION("a failed connect at an endpoint that delivers") { failed = 1; }
+    SECTION("hundreds of senders would fill the connection tables") { set.crew.senders = 200; }
     SECTION("none of these") { set.crew.senders = 3; }
     bool expected = breaks + failed > 0 || set.crew.senders > 3;
     Rig rig(set);
@@ -348,7 +350,7 @@
     CHECK((closes > 0) == expected);
 }
 
-TEST_CASE("before the store is full the text that will earn least makes room") {
+TEST_CASE("before the store is full, the text that will earn least is nacked") {
     Set set = unlimited();
     set.room.maxTexts = 40;
     Rig rig(set);
@@ -361,12 +363,12 @@
         CHECK((row.answers == 0 || row.arrival.product == ProductIndex(0u)));
 }
 
-TEST_CASE("with all slots out and a text that could go, the most overdue call is given up") {
+TEST_CASE("with all slots taken and a text that could be sent, the most overdue call is cancelled") {
     Set set;
     set.room.maxCalls = 2;
     Rig rig(set);
     for (uint32_t d = 0; d < 3; ++d) rig.endpoints(d, d, 1);
-    for (uint32_t i = 0; i < 12; ++i) {  // every destination is known to answer in 100 ms
+    for (uint32_t i = 0; i < 12; ++i) {  // teaches it that every destination answers in 100 ms
         rig.text(i % 3, 0);
         rig.pull();
         rig.now = rig.now + Span::millis(100);
@@ -377,10 +379,10 @@
     rig.text(2, 2);
     size_t cancels = 0;
     for (int i = 0; i < 1000; ++i) rig.run(Span::millis(5)), cancels += rig.answers<CancelSubmit>();
-    CHECK(cancels == 1);  // and no second one before the first has ended
+    CHECK(cancels == 1);  // no second one before the first has ended
 }
 
-TEST_CASE("texts in trial calls take turns, so none uses up its submits during an outage") {
+TEST_CASE("texts take turns in trial calls, so that none uses up its submits during an outage") {
     Set set = unlimited();
     set.products[0].validity = Span::seconds(60);
     Rig rig(set);
@@ -395,9 +397,9 @@
     CHECK(most - least <= 1);
 }
 
-TEST_CASE("a limit lower than the listed one is learned from refusals with nothing delivered between") {
+TEST_CASE("a limit below the listed one is learned from rejections with no delivery in between") {
     Rig rig(unlimited());
-    rig.endpoints(0, 0, 1, 0, 40);  // 20 a second for this sender by the list; the place takes 2
+    rig.endpoints(0, 0, 1, 0, 40);  // listed: 20 per second for this sender; the destination takes 2
     double allowance = 0;
     size_t early = 0, late = 0, delivered = 0;
     std::vector<std::pair<Submit, bool>> out;
@@ -416,11 +418,11 @@
         }
     }
     CHECK(delivered >= 15);
-    CHECK(late < early * 2);  // late spans twice the time: refusals a second must not have grown
+    CHECK(late < early * 2);  // `late` covers twice the time: rejections per second must not grow
     CHECK(late < 80);
 }
 
-TEST_CASE("an endpoint of two that is dead, or out of connections now and then, does not slow the other") {
+TEST_CASE("one of two endpoints that is dead, or sometimes out of connections, does not slow the other") {
     bool dead = GENERATE(true, false);
     Rig rig(unlimited());
     rig.endpoints(0, 0, 2, 0, 200);
@@ -436,13 +438,13 @@
             rig.end(s, fails ? SubmitStatus::unreachable : SubmitStatus::delivered);
         }
     }
-    CHECK(delivered >= 95);        // of the hundred that came meanwhile
-    CHECK((dead || there >= 40));  // a full table now and then does not set an endpoint aside
+    CHECK(delivered >= 95);        // of the hundred that arrived meanwhile
+    CHECK((dead || there >= 40));  // an occasional full connection table does not demote an endpoint
 }
 
-TEST_CASE("time-outs do not grow without bound by the time-outs before them") {
+TEST_CASE("time-outs do not grow without bound through earlier time-outs") {
     Rig rig(unlimited());
-    rig.endpoints(0, 0, 1, 2, 100);  // batching: a long call holds many texts
+    rig.endpoints(0, 0, 1, 2, 100);  // batches: a long call holds many texts
     Span longest;
     for (int i = 0; i < 40; ++i) {
         rig.text(0, 0);
@@ -460,7 +462,7 @@
     CHECK(longest <= Span::seconds(9));
 }
 
-TEST_CASE("what a hundred senders do together after a refusal, a told wait or an outage is spread") {
+TEST_CASE("after a rejection, a requested wait or an outage, a hundred senders do not act at the same time") {
     SubmitStatus how = GENERATE(SubmitStatus::overloaded, SubmitStatus::unreachable);
     Span told = how == SubmitStatus::overloaded ? GENERATE(Span(), Span::seconds(1)) : Span();
     std::map<int, size_t> bySecond;
@@ -469,7 +471,7 @@
         Set set = unlimited();
         set.crew.senders = 100;
         Rig rig(set, seed);
-        rig.endpoints(0, 0, 1, 0, 4);  // 4 calls a second for all of them: a turn is longer than a text lasts
+        rig.endpoints(0, 0, 1, 0, 4);  // 4 calls per second for all: one turn takes longer than a text is valid
         rig.text(0, 0);
         REQUIRE(rig.pull() == 1);
         rig.end(rig.submits[0], how, told);
@@ -481,7 +483,7 @@
     for (auto& [second, senders] : bySecond) CHECK(senders <= 85);  // of the hundred
 }
 
-TEST_CASE("a sender among hundreds that meets a place now and then sends on to a fellow of a dead endpoint") {
+TEST_CASE("in a large group, a sender with few texts for a destination uses the peer of a dead endpoint") {
     Set set = unlimited();
     set.crew.senders = 200;
     Rig rig(set);
@@ -501,7 +503,7 @@
     CHECK(delivered >= 17);
 }
 
-TEST_CASE("once silence was seen to last, a full sender gives an overdue call up before its SLA time") {
+TEST_CASE("a full sender that has seen overdue calls never answered cancels one before its SLA time") {
     bool seen = GENERATE(true, false);
     Set set;
     set.room.maxCalls = 2;
@@ -524,11 +526,11 @@
     CHECK((cancels > 0) == seen);
 }
 
-TEST_CASE("a text whose turn comes after its time is answered at once, its program told when to come back") {
+TEST_CASE("a text whose turn would come too late is nacked at once, with the time to come back") {
     Set set = unlimited();
     set.crew.senders = 1000, set.room.maxTexts = 0;
     Rig rig(set);
-    rig.endpoints(0, 0, 1, 0, 1);  // one call a second for a thousand: a turn is a quarter of an hour
+    rig.endpoints(0, 0, 1, 0, 1);  // one call per second for a thousand senders: a turn takes a quarter of an hour
     size_t early = 0;
     for (int i = 0; i < 12000; ++i) {
         if (i % 20 == 0) rig.text(0, 0);
@@ -541,9 +543,9 @@
     CHECK(early >= 100);
 }
 
-TEST_CASE("what is known of an endpoint goes with it; its index serves another, which inherits nothing") {
+TEST_CASE("the state of an endpoint is dropped with it; the next one with its index inherits nothing") {
     Rig rig;
-    rig.endpoints(0, 0, 1, 1);  // a route of its own
+    rig.endpoints(0, 0, 1, 1);  // a separate route
     rig.text(0, 0);
     REQUIRE(rig.pull() == 1);
     rig.end(rig.submits[0], SubmitStatus::overloaded, Span::seconds(9));
@@ -553,7 +555,7 @@
     auto again = rig.run(Span::millis(300));
     REQUIRE(again.size() == 1);
     rig.end(again[0], SubmitStatus::delivered);
-    // One that goes with a call out is forgotten as that ends, and its index can serve another destination.
+    // An endpoint removed with a call in flight is dropped when that ends; its index can then serve another one.
     rig.text(0, 0);
     REQUIRE(rig.pull() == 1);
     rig.list({{EndpointIndex(0u), DestinationIndex(0u), ZoneIndex(0u), KindIndex(1u), ListState::removed, 0}});
@@ -563,7 +565,7 @@
     rig.text(5, 0);
     REQUIRE(rig.pull() == 1);
     CHECK(rig.submits[0].endpoint == EndpointIndex(0u));
-    // A wait that a whole destination was told binds the new endpoint as well.
+    // A wait requested by a destination holds for its new endpoint as well.
     rig.end(rig.submits[0], SubmitStatus::overloaded, Span::millis(900));
     rig.list({{EndpointIndex(0u), DestinationIndex(5u), ZoneIndex(0u), KindIndex(0u), ListState::removed, 0}});
     rig.list({{EndpointIndex(1u), DestinationIndex(5u), ZoneIndex(0u), KindIndex(0u), ListState::active, 0}});
@@ -571,11 +573,11 @@
     CHECK(rig.run(Span::seconds(3)).size() == 1);
 }
 
-TEST_CASE("calls that later ones have overtaken are lost, and no longer count as the endpoint's load") {
+TEST_CASE("calls overtaken by later ones count as lost, not as load of the endpoint") {
     Rig rig;
     rig.endpoints(0, 0, 1);
     for (int i = 0; i < 4; ++i) rig.text(0, 2);
-    REQUIRE(rig.pull() == 4);  // three of these stay unanswered, as their connections fell silent
+    REQUIRE(rig.pull() == 4);  // three of these are never answered: their connections fell silent
     Submit next = rig.submits[3];
     for (int i = 0; i < 20; ++i) {
         rig.now = rig.now + Span::millis(100);
@@ -588,7 +590,7 @@
     CHECK(rig.pull() == 3);
 }
 
-TEST_CASE("a few calls that break in a row are no outage where others are delivered all along") {
+TEST_CASE("a few broken calls in a row are no outage while others are delivered") {
     Rig rig;
     rig.endpoints(0, 0, 1);
     auto deliver = [&](SubmitStatus how) {
@@ -609,8 +611,8 @@
     CHECK(rig.run(Span::millis(50)).size() == 3);
 }
 
-// One of 100 senders has texts for a place of 400 calls a second, so that its slice is 4.
-static size_t sentAfterRefusals(bool atTheDoor) {
+// Calls that one of 100 senders starts after rejections; the destination takes 400 per second, its fair share is 4.
+static size_t sentAfterRejections(bool tableFull) {
     Set set;
     set.crew.senders = 100;
     Rig rig(set);
@@ -624,9 +626,10 @@
     rig.text(0, 0);
     REQUIRE(rig.pull() == 1);
     end(rig.submits[0], SubmitStatus::delivered, true, true);
-    for (int refused = 0; refused < 3;) {
+    for (int rejected = 0; rejected < 3;) {
         rig.text(0, 0);
-        for (const Submit& s : rig.run(Span::millis(500))) end(s, SubmitStatus::overloaded, !atTheDoor, true), ++refused;
+        for (const Submit& s : rig.run(Span::millis(500)))
+            end(s, SubmitStatus::overloaded, !tableFull, true), ++rejected;
     }
     auto deliver = [&](int rounds) {
         size_t sent = 0;
@@ -640,12 +643,12 @@
     return deliver(10);
 }
 
-TEST_CASE("refused at a full table of connections, a sender does not take that for the place's limit") {
-    CHECK(sentAfterRefusals(true) >= 8);   // nothing binds
-    CHECK(sentAfterRefusals(false) <= 4);  // refusals with a report bind at the slice
+TEST_CASE("a rejection by a full connection table is not taken for the destination's rate limit") {
+    CHECK(sentAfterRejections(true) >= 8);   // not limited
+    CHECK(sentAfterRejections(false) <= 4);  // rejections with a load report limit it to its fair share
 }
 
-// One of 100 senders at a place whose limit was lowered to a quarter for a while, and given back.
+// Calls that one of 100 senders starts in 3 s after a destination's limit was cut to a quarter and restored.
 static size_t sentAfterReturn(double left) {
     Set set;
     set.crew.senders = 100;
@@ -673,12 +676,12 @@
     return sent;
 }
 
-TEST_CASE("a slice is used again at once when answers say that most of a limit is left") {
-    CHECK(sentAfterReturn(0.9) >= 7);  // 4 a second each, for 3 s
+TEST_CASE("the fair share is used again at once if answers report that most of the limit is unused") {
+    CHECK(sentAfterReturn(0.9) >= 7);  // 4 per second for each sender, in 3 s
     CHECK(sentAfterReturn(0) <= 5);
 }
 
-TEST_CASE("with all slots out a call that was long overtaken at its endpoint is given up, though none was lost before") {
+TEST_CASE("with all slots taken, a call long overtaken at its endpoint is cancelled, even if none was lost before") {
     Set set;
     set.room.maxCalls = 4, set.room.maxTexts = 0;
     Rig rig(set);
@@ -687,7 +690,7 @@
     std::optional<Submit> silent;
     Instant silentSince, givenUp = Instant::never();
     int answered = 0;
-    // One call is never answered, all others take 100 ms, and there is always a text that could go.
+    // One call is never answered, all others take 100 ms, and there is always a text that could be sent.
     for (int i = 0; i < 1200 && givenUp == Instant::never(); ++i) {
         rig.now = rig.now + Span::millis(5);
         if (i % 4 == 0) rig.text(0, 2), rig.text(0, 2);
--- a/tests/rules_model_test.cpp
+++ b/tests/rules_model_test.cpp
@@ -1,5 +1,5 @@
-// The plain model beside the module on generated inputs: all that the module does must be allowed, and
-// what nothing forbids must get done.
+// Runs the decision module beside a plain model of the rules on generated inputs: every decision must be allowed by
+// the model, and every text must get its answer.
 #include "tests/helpers.hpp"
 
 using namespace petrelpond;
@@ -23,7 +23,7 @@
     Instant stop = rig.now + Span::seconds(25);
     while (rig.now < stop + Span::seconds(25)) {
         rig.now = rig.now + Span::millis(5 + draw(30));
-        // Ends come in the order drawn for their times, never before the round after their submit.
+        // Results arrive in order of their drawn times, in the round after their submit at the earliest.
         std::stable_sort(late.begin(), late.end(), [](auto& a, auto& b) { return a.at < b.at; });
         while (!late.empty() && late.front().at <= rig.now) {
             Late l = late.front();
@@ -41,7 +41,8 @@
             auto entry =
                 std::next(rig.rules.list.begin(), draw(static_cast<uint32_t>(rig.rules.list.size())));
             ListEntry changed = entry->second;
-            const ListState states[] = {ListState::active, ListState::active, ListState::draining, ListState::removed};
+            const ListState states[] = {ListState::active, ListState::active, ListState::draining,
+                                        ListState::removed};
             changed.state = states[draw(4)];
             rig.list(std::vector<ListEntry>(draw(3) == 0 ? 300 : 1, changed));
         }
@@ -53,8 +54,9 @@
             SubmitStatus how = SubmitStatus::delivered;
             Span wait;
             if (draw(1000) < badShare * 1000) {
-                const SubmitStatus bad[] = {SubmitStatus::error,       SubmitStatus::overloaded,  SubmitStatus::timeout,
-                                   SubmitStatus::unreachable, SubmitStatus::reset, SubmitStatus::notSent};
+                const SubmitStatus bad[] = {SubmitStatus::error,       SubmitStatus::overloaded,
+                                            SubmitStatus::timeout,     SubmitStatus::unreachable,
+                                            SubmitStatus::reset,       SubmitStatus::notSent};
                 how = bad[draw(6)];
                 if (how == SubmitStatus::overloaded && draw(2) == 0) wait = Span::millis(draw(2000));
             }
@@ -81,21 +83,21 @@
 
 }  // namespace
 
-TEST_CASE("the module does nothing that the plain model forbids, and answers every text once") {
+TEST_CASE("the module does nothing that the rules model forbids, and answers every text once") {
     uint32_t seed = GENERATE(take(12, random(1, 1'000'000)));
     double bad = GENERATE(0.0, 0.2, 0.7);
     play(Set{}, seed, bad);
 }
 
-TEST_CASE("the same with every product in order") {
+TEST_CASE("with every product in order, the module follows the rules model") {
     uint32_t seed = GENERATE(take(12, random(1, 1'000'000)));
     play(inOrder(), seed, GENERATE(0.0, 0.3));
 }
 
-TEST_CASE("the same under odd settings") {
+TEST_CASE("under unusual settings, the module follows the rules model") {
     Set set;
     set.products[1].dedupPerZone = true;
-    SECTION("nothing is limited and nothing told") {
+    SECTION("no limits and no settings") {
         set.room = SenderLimits{};
         set.crew.senders = 0;
         set.cold = ColdStartRule{};
@@ -104,6 +106,6 @@
     SECTION("one slot, one submit") { set.room.maxCalls = set.room.maxSubmits = 1; }
     SECTION("one slot, a store of one") { set.room.maxCalls = set.room.maxTexts = 1; }
     SECTION("thousands of senders") { set.crew.senders = 5000; }
-    SECTION("no kinds are named, so every endpoint is of the plain one") { set.kinds.resize(3, EndpointKind{}); }
+    SECTION("no kinds are named, so every endpoint is of the default kind") { set.kinds.resize(3, EndpointKind{}); }
     play(set, GENERATE(take(6, random(1, 1'000'000))), 0.3);
 }
--- a/tests/scale_test.cpp
+++ b/tests/scale_test.cpp
@@ -1,4 +1,4 @@
-// Many destinations: the indexed structures against plain models, and what the module keeps to at size.
+// Many destinations: the index structures compared with plain models, and the bounds that the module keeps at scale.
 #include "src/index/in_flight.hpp"
 #include "src/index/wait_queues.hpp"
 #include "src/index/endpoint_registry.hpp"
@@ -25,10 +25,10 @@
     EndpointCore core;
     InFlightCalls inFlight;
 };
-// Routes of kind 1 have a place each.
+// Endpoints of kind 1 have a limit group each.
 struct Records : EndpointRegistry<GroupRecord, EndpointRecord> {
-    using EndpointRegistry::destination, EndpointRegistry::forgetDestination, EndpointRegistry::removeIfUnused, EndpointRegistry::endpoints_, EndpointRegistry::groupOf,
-        EndpointRegistry::groups_;
+    using EndpointRegistry::destination, EndpointRegistry::forgetDestination, EndpointRegistry::removeIfUnused,
+        EndpointRegistry::endpoints_, EndpointRegistry::groupOf, EndpointRegistry::groups_;
     void tell(ListScope scope, const std::vector<ListEntry>& entries) {
         applyList(scope, entries, true, [](KindIndex kind) { return kind == KindIndex(1u); });
     }
@@ -42,7 +42,7 @@
     return set;
 }
 
-// A world in which every call ends after a while as its destination says.
+// A simulation in which every call ends after 20 ms with the result chosen for its destination.
 struct Crowd : Rig {
     std::multimap<Instant, std::pair<Submit, SubmitStatus>> ends;
     std::function<SubmitStatus(uint32_t destination)> how = [](uint32_t) { return SubmitStatus::delivered; };
@@ -53,7 +53,8 @@
     Crowd(Set s, uint32_t destinations) : Rig(std::move(s)) {
         std::vector<ListEntry> entries;
         for (uint32_t d = 0; d < destinations; ++d) {
-            entries.push_back({EndpointIndex(d), DestinationIndex(d), ZoneIndex(0u), KindIndex(0u), ListState::active, 0});
+            entries.push_back(
+                {EndpointIndex(d), DestinationIndex(d), ZoneIndex(0u), KindIndex(0u), ListState::active, 0});
         }
         list(entries, ListScope::complete);
     }
@@ -84,7 +85,7 @@
 
 }  // namespace
 
-TEST_CASE("names at the door: as a plain map has them, however they come and go") {
+TEST_CASE("NameTable agrees with a plain map over random interning and releasing") {
     std::mt19937 chance(3);
     NameTable<DestinationIndex> door;
     std::map<std::string, DestinationIndex> model;
@@ -108,7 +109,7 @@
     CHECK(model.size() > 200);
 }
 
-TEST_CASE("parked: in one row at most; of many all get their turn") {
+TEST_CASE("WaitQueues hold an index once, and RoundRobinSet visits all of its indices") {
     std::mt19937 chance(4);
     WaitQueues queues;
     std::map<uint32_t, WaitReason> model;
@@ -123,7 +124,7 @@
             for (auto& [k, r] : model) r = r == WaitReason::key ? WaitReason::ready : r;
         }
     }
-    for (WaitReason row : {WaitReason::ready, WaitReason::slot, WaitReason::retryCredit, WaitReason::key}) {
+    for (WaitReason row : {WaitReason::ready, WaitReason::slot, WaitReason::credit, WaitReason::key}) {
         std::vector<uint32_t> want;
         for (auto& [k, r] : model) {
             if (r == row) want.push_back(k);
@@ -142,7 +143,7 @@
     CHECK(met.size() == 1000);
 }
 
-TEST_CASE("endpoints of a destination share a place unless they are routes apart, and nothing gone is kept") {
+TEST_CASE("endpoints of a destination share a limit group unless routes are separate, and removed ones are dropped") {
     auto entry = [](size_t e, size_t d, size_t kind, ListState state = ListState::active) {
         return ListEntry{EndpointIndex(e), DestinationIndex(d), ZoneIndex(0u), KindIndex(kind), state, 5.0};
     };
@@ -153,7 +154,7 @@
     CHECK(all.groups_.core(all.groupOf(EndpointIndex(3u))).listedRate == 5);
     CHECK(all.destination(DestinationIndex(1u)).endpoints == std::vector<uint32_t>{2, 3});
 
-    // Gone with a call out it is kept until that is back; a whole list that does not name it says the same.
+    // An endpoint missing from a complete list is kept until its last call in flight has ended.
     all.endpoints_[2].inFlight.starts.insert(Instant());
     all.tell(ListScope::complete, {entry(0, 0, 0), entry(3, 1, 1)});
     CHECK(all.destination(DestinationIndex(0u)).endpoints == std::vector<uint32_t>{0});
@@ -165,7 +166,7 @@
     all.tell(ListScope::changes, {entry(4, 2, 0)});
     CHECK(all.groupOf(EndpointIndex(4u)) == freed);
 
-    // A list that is old takes nothing off for good.
+    // A cached list removes nothing for good.
     all.tell(ListScope::cached, {entry(3, 1, 1)});
     CHECK(!all.endpoints_.core(0).usable());
     CHECK(all.destination(DestinationIndex(0u)).endpoints == std::vector<uint32_t>{0});
@@ -174,7 +175,7 @@
     CHECK(all.groupOf(EndpointIndex(5u)) == freed);
 }
 
-TEST_CASE("the roster's chains are the lists that they stand for") {
+TEST_CASE("endpoint chains agree with plain lists") {
     std::mt19937 chance(5);
     LazyTable<WholeEndpoint, EndpointCore> endpoints;
     LazyTable<WholeDestination, DestinationCore> destinations;
@@ -199,7 +200,7 @@
     }
 }
 
-TEST_CASE("rates served: as counted one by one") {
+TEST_CASE("DeliveryHistory agrees with counting each delivery") {
     std::mt19937 chance(6);
     DeliveryHistory history;
     std::vector<Instant> all;
@@ -214,15 +215,14 @@
     }
 }
 
-TEST_CASE("all destinations full for a minute, then free: all texts that come then are delivered") {
+TEST_CASE("after a minute in which all destinations are overloaded, all new texts are delivered") {
     Crowd crowd(manySet(256, 0), 300);
     bool full = true;
     crowd.how = [&](uint32_t) { return full ? SubmitStatus::overloaded : SubmitStatus::delivered; };
     auto arrive = [&] { crowd.text(crowd.nextText * 7919 % 300, 0); };
     crowd.go(Span::seconds(60), arrive);
     long before = crowd.ended[SubmitStatus::overloaded];
-    // What is wasted meanwhile: all slots once at first, then once in four seconds; each text its first
-    // submit.
+    // Bound of the wasted submits: all slots once at first, then once in four seconds; the first submit of each text.
     CHECK(crowd.further < 256 + 256 * 60 / 4 + 300);
     CHECK(before < 12000 + crowd.further + 1);
     full = false;
@@ -236,7 +236,7 @@
     CHECK(crowd.ended[SubmitStatus::delivered] >= static_cast<long>(crowd.nextText - first));
 }
 
-TEST_CASE("a large share fails together: further submits stay within what others deliver") {
+TEST_CASE("when a large share of destinations fails, retries stay within what others deliver") {
     Crowd crowd(manySet(64, 0), 2000);
     crowd.how = [](uint32_t d) { return d < 1800 ? SubmitStatus::unreachable : SubmitStatus::delivered; };
     crowd.go(Span::seconds(20), [&] {
@@ -245,7 +245,7 @@
     long delivered = crowd.ended[SubmitStatus::delivered];
     CHECK(delivered > 700);
     CHECK(crowd.further < delivered + 64 + 64 * 20 / 4 + 64);
-    // And those that are well lose nothing by it.
+    // The healthy destinations lose nothing by it.
     long waits = 0;
     for (const auto& [ix, row] : crowd.rules.rows) {
         waits += row.arrival.destination.value >= 1800 && !row.over &&
@@ -254,7 +254,7 @@
     CHECK(waits == 0);
 }
 
-TEST_CASE("one hung destination with 20,000 texts: others' are all delivered, its own have a bound") {
+TEST_CASE("with 20,000 texts for one hung destination, all others are delivered and its backlog is bounded") {
     Crowd crowd(manySet(32, 4000), 50);
     crowd.how = [](uint32_t d) { return d == 0 ? SubmitStatus::timeout : SubmitStatus::delivered; };
     uint32_t n = 0;
@@ -274,10 +274,10 @@
     CHECK(crowd.nacked == crowd.nackedOf[0]);
 }
 
-TEST_CASE("5,000 idle destinations wake at once: each is served, none gets more than it may at first") {
+TEST_CASE("5,000 idle destinations that get texts at once are all served, none above its initial limit") {
     Crowd crowd(manySet(256, 0), 5000);
     crowd.go(Span::seconds(1), [&] { crowd.text(crowd.nextText * 7919 % 5000, 0); });
-    crowd.go(Span::seconds(90));  // all at rest
+    crowd.go(Span::seconds(90));  // all records are unloaded
     crowd.outOf.clear(), crowd.mostOut = 0;
     uint32_t first = crowd.nextText;
     for (uint32_t d = 0; d < 5000; ++d) crowd.text(d, 0), crowd.text(d, 0);
@@ -288,17 +288,17 @@
     CHECK(crowd.mostOut <= 2);
 }
 
-TEST_CASE("what outlives a destination's rest: a told wait, an outage; not what it was when forgotten") {
+TEST_CASE("a requested wait and an outage outlive the unloading of a destination, but not its removal") {
     Crowd crowd(manySet(64, 0), 4);
     SubmitStatus end = SubmitStatus::unreachable;
     crowd.how = [&](uint32_t d) { return d == 1 ? end : SubmitStatus::delivered; };
-    // Destination 0 is told to wait for 150 s, 1 is out, 2 and 3 are well.
+    // Destination 0 asks for a wait of 150 s, 1 is down, 2 and 3 are healthy.
     crowd.text(0, 0);
     crowd.pull();
     REQUIRE(crowd.submits.size() == 1);
     crowd.end(crowd.submits[0], SubmitStatus::overloaded, Span::seconds(150));
     crowd.go(Span::seconds(4), [&] { crowd.text(1, 0), crowd.text(2, 0); });
-    crowd.go(Span::seconds(110));  // longer than a text is valid, and long enough to rest
+    crowd.go(Span::seconds(110));  // longer than a text is valid, and long enough to be unloaded
     crowd.ended.clear();
     for (uint32_t d = 0; d < 3; ++d) {
         for (int i = 0; i < 10; ++i) crowd.text(d, 0);
@@ -306,11 +306,11 @@
     crowd.pull();
     std::map<uint32_t, int> sent;
     for (const Submit& s : crowd.submits) ++sent[s.endpoint.value];
-    CHECK(sent[0] == 0);  // the plain model would have complained too
+    CHECK(sent[0] == 0);  // the rules model would fail as well
     CHECK(sent[1] <= 1);
     CHECK(sent[2] > 1);
     for (const Submit& s : crowd.submits) crowd.end(s, SubmitStatus::delivered);
-    // Its endpoint goes, its name too, and the index becomes another's.
+    // Its endpoint and its name are removed, and the index is reused.
     crowd.go(Span::seconds(21));
     crowd.list({{EndpointIndex(1), DestinationIndex(1), ZoneIndex(0u), KindIndex(0u), ListState::removed, 0}});
     crowd.sender->onDestinationRemoved(crowd.now, DestinationIndex(1));
@@ -320,7 +320,7 @@
     CHECK(crowd.submits.size() > 1);
 }
 
-TEST_CASE("a clock that jumps between two rounds breaks no rule and stops nothing") {
+TEST_CASE("a clock that jumps between two rounds breaks no rule and stalls nothing") {
     Crowd crowd(manySet(64, 500), 100);
     crowd.how = [&](uint32_t d) { return d % 5 == 0 ? SubmitStatus::overloaded : SubmitStatus::delivered; };
     for (int i = 0; i < 12; ++i) {
--- a/tests/simhost_test.cpp
+++ b/tests/simhost_test.cpp
@@ -16,15 +16,15 @@
     "FLEET who=3 scope=Persisted epoch=1 rosterId=0\n";
 
 struct Run {
-    std::string out, complaints;
+    std::string out, errors;
     int code;
 };
 
 Run serveAll(const std::string& lines) {
     std::istringstream in(lines);
-    std::ostringstream out, complaints;
-    int code = serve(in, out, complaints);
-    return {out.str(), complaints.str(), code};
+    std::ostringstream out, errors;
+    int code = serve(in, out, errors);
+    return {out.str(), errors.str(), code};
 }
 
 std::string batch(const std::string& events) { return "CLOCK moment=1000000\n" + events + "GO\n"; }
@@ -34,7 +34,7 @@
 
 }  // namespace
 
-TEST_CASE("a text goes out under its own names; unknown settings and fields are passed over") {
+TEST_CASE("a text is sent under its own id and endpoint; unknown settings and fields are ignored") {
     CHECK(serveAll("CLOCK moment=1\nGO\n").out == "OK\n");
     Run run = serveAll(batch(std::string(kOpen) + kArrival));
     CHECK(run.code == 0);
@@ -55,24 +55,24 @@
     CHECK(run.out.find("endpoint=10.0.0.2:80") != std::string::npos);
 }
 
-TEST_CASE("a malformed line ends in order, with its number and what is wrong") {
+TEST_CASE("a malformed line ends the program with an error that has the line number") {
     std::string bad = GENERATE("HELLO\n", "CLOCK\n", "CLOCK moment=x\n", "CLOCK moment=1\nARRIVAL who\n",
                                "CLOCK moment=1\nSHEET rosterId=99 rowsIn=0\n", "CLOCK moment=1\n\n");
     Run run = serveAll(bad);
     CHECK(run.code == 2);
-    CHECK(run.complaints.find("line " + std::to_string(std::count(bad.begin(), bad.end(), '\n'))) !=
+    CHECK(run.errors.find("line " + std::to_string(std::count(bad.begin(), bad.end(), '\n'))) !=
           std::string::npos);
 }
 
-TEST_CASE("unknown products and texts are reported, and the rest goes on") {
+TEST_CASE("unknown products and texts are reported, and the rest is processed") {
     Run run =
         serveAll(batch(std::string(kOpen) +
                        "ARRIVAL who=3 rid=00000000000000bb flags=0 deadline=9000000 priority=odd destNo=7\n"
                        "CLOSED_ATTEMPT who=3 rid=00000000000000cc trial=0 endpoint=10.0.0.9:80 code=OK\n" +
                        kArrival));
     CHECK(run.code == 0);
-    CHECK(run.complaints.find("unknown product") != std::string::npos);
-    CHECK(run.complaints.find("unknown text") != std::string::npos);
+    CHECK(run.errors.find("unknown product") != std::string::npos);
+    CHECK(run.errors.find("unknown text") != std::string::npos);
     CHECK(run.out.find("REFUSE who=3 rid=00000000000000bb") != std::string::npos);
     CHECK(run.out.find("SEND who=3 rid=00000000000000aa") != std::string::npos);
 }
@@ -90,15 +90,15 @@
 
 struct BrokenHost : Host {
     using Host::Host;
-    std::unique_ptr<Sender> seat(std::unique_ptr<Sender>) override { return std::make_unique<Broken>(); }
+    std::unique_ptr<Sender> wrapSender(std::unique_ptr<Sender>) override { return std::make_unique<Broken>(); }
 };
 
 }  // namespace
 
-TEST_CASE("an exception in the decisions gives in with its text") {
-    std::ostringstream out, complaints;
-    BrokenHost host(out, complaints);
+TEST_CASE("an exception in a sender is reported as GIVE_IN with its text") {
+    std::ostringstream out, errors;
+    BrokenHost host(out, errors);
     std::istringstream lines(batch(std::string(kOpen) + kArrival));
-    for (std::string line; std::getline(lines, line);) host.take(line);
+    for (std::string line; std::getline(lines, line);) host.handleLine(line);
     CHECK(out.str() == "GIVE_IN who=3 what=index out of range\nOK\n");
 }
