--- a/bench/decisions_bench.cpp
+++ b/bench/decisions_bench.cpp
@@ -14,19 +14,19 @@
 
 namespace {
 
-constexpr int kTextsASecond = 400;
-constexpr double kRefused = 0.005, kDelivered = 0.05;  // seconds until the result of a call
+constexpr int kTextsPerSecond = 400;
+constexpr double kRejectSeconds = 0.005, kDeliverSeconds = 0.05;  // time until the result of a call
 
-struct Due {
+struct PendingResult {
     Instant at;
     uint64_t order;
-    SubmitResult end;
-    bool operator>(const Due& o) const { return std::tie(at, order) > std::tie(o.at, o.order); }
+    SubmitResult result;
+    bool operator>(const PendingResult& o) const { return std::tie(at, order) > std::tie(o.at, o.order); }
 };
 
-class Scripted {
+class Simulation {
   public:
-    Scripted(uint32_t destinations, double refusing) : destinations_(destinations), refusing_(refusing) {
+    Simulation(uint32_t destinations, double rejecting) : destinations_(destinations), rejecting_(rejecting) {
         std::vector<Product> products = {
             {Span::seconds(1), Span::seconds(10), Effect::idempotent, Span(), false, 1, 0.3, false}};
         sender_ = makeSender(7, products, {EndpointKind{}}, {2, ZoneIndex(0u)},
@@ -42,13 +42,13 @@
         pull();
     }
     // Runs until `n` more texts have arrived; returns the seconds spent in the module.
-    double texts(int n) {
+    double runTexts(int n) {
         double before = spent_;
         for (int i = 0; i < n; ++i) {
-            Instant next = now_ + Span::micros(1000000 / kTextsASecond);
+            Instant next = now_ + Span::micros(1000000 / kTextsPerSecond);
             runTo(next);
             Arrival a;
-            a.text = TextIndex(nextText_++), a.destination = DestinationIndex(chance_() % destinations_);
+            a.text = TextIndex(nextText_++), a.destination = DestinationIndex(random_() % destinations_);
             a.product = ProductIndex(0u), a.validUntil = now_ + Span::seconds(10);
             timed([&] { sender_->onArrival(now_, a); });
             pull();
@@ -56,7 +56,7 @@
         return spent_ - before;
     }
 
-    void silence(Span span) { runTo(now_ + span); }
+    void runIdle(Span span) { runTo(now_ + span); }
 
   private:
     template <class Work>
@@ -68,7 +68,7 @@
     void runTo(Instant until) {
         while (true) {
             Instant at = until;
-            if (!dues_.empty()) at = std::min(at, dues_.top().at);
+            if (!pending_.empty()) at = std::min(at, pending_.top().at);
             at = std::min(at, wake_);
             now_ = at;
             if (at == until) return;
@@ -76,9 +76,9 @@
                 wake_ = Instant::never();
                 timed([&] { sender_->onTimer(now_); });
             } else {
-                SubmitResult end = dues_.top().end;
-                dues_.pop();
-                timed([&] { sender_->onSubmitResult(now_, end); });
+                SubmitResult result = pending_.top().result;
+                pending_.pop();
+                timed([&] { sender_->onSubmitResult(now_, result); });
             }
             pull();
         }
@@ -89,10 +89,11 @@
             timed([&] { decision = sender_->nextDecision(now_); });
             if (!decision) return;
             if (const auto* s = std::get_if<Submit>(&*decision)) {
-                bool full = s->endpoint.value < refusing_ * destinations_;
-                SubmitResult end{s->text, s->endpoint, full ? SubmitStatus::overloaded : SubmitStatus::delivered,
-                              !full,   Span(),      std::nullopt};
-                dues_.push({now_ + Span::seconds(full ? kRefused : kDelivered), order_++, end});
+                bool rejected = s->endpoint.value < rejecting_ * destinations_;
+                SubmitResult result{s->text, s->endpoint,
+                                    rejected ? SubmitStatus::overloaded : SubmitStatus::delivered,
+                                    !rejected, Span(), std::nullopt};
+                pending_.push({now_ + Span::seconds(rejected ? kRejectSeconds : kDeliverSeconds), order_++, result});
             } else if (const auto* w = std::get_if<WakeAt>(&*decision)) {
                 wake_ = std::min(wake_, w->at);
             }
@@ -100,29 +101,29 @@
     }
 
     uint32_t destinations_, nextText_ = 0;
-    double refusing_, spent_ = 0;
+    double rejecting_, spent_ = 0;
     uint64_t order_ = 0;
-    std::mt19937 chance_{11};
+    std::mt19937 random_{11};
     Instant now_ = Instant::atMicros(1000000), wake_ = Instant::never();
-    std::priority_queue<Due, std::vector<Due>, std::greater<>> dues_;
+    std::priority_queue<PendingResult, std::vector<PendingResult>, std::greater<>> pending_;
     std::unique_ptr<Sender> sender_;
 };
 
 // Arguments: number of destinations, percentage of them that reject calls.
 void decisions(benchmark::State& state) {
-    Scripted world(static_cast<uint32_t>(state.range(0)), static_cast<double>(state.range(1)) / 100);
+    Simulation simulation(static_cast<uint32_t>(state.range(0)), static_cast<double>(state.range(1)) / 100);
     // Warms up until the number of waiting texts is stable: they are valid for 10 s. Stops after 6 s of measured
     // time, as some settings would take minutes.
     double warm = 0;
-    for (int s = 0; s < 12 && warm < 6; ++s) warm += world.texts(kTextsASecond);
+    for (int s = 0; s < 12 && warm < 6; ++s) warm += simulation.runTexts(kTextsPerSecond);
     double spent = 0;
     for (auto _ : state) {
-        double took = world.texts(kTextsASecond / 4);
+        double took = simulation.runTexts(kTextsPerSecond / 4);
         spent += took;
         state.SetIterationTime(took);
     }
     state.counters["us_per_text"] =
-        spent * 1e6 / (static_cast<double>(state.iterations()) * kTextsASecond / 4);
+        spent * 1e6 / (static_cast<double>(state.iterations()) * kTextsPerSecond / 4);
 }
 BENCHMARK(decisions)
     ->ArgsProduct({{100, 1000, 10000, 50000}, {0, 10, 50}})
@@ -135,10 +136,10 @@
     auto destinations = static_cast<uint32_t>(state.range(0));
     for (auto _ : state) {
         size_t before = mallinfo2().uordblks;
-        Scripted world(destinations, 0);
-        world.texts(static_cast<int>(destinations) * 3);
+        Simulation simulation(destinations, 0);
+        simulation.runTexts(static_cast<int>(destinations) * 3);
         size_t used = mallinfo2().uordblks;
-        world.silence(Span::seconds(130));  // records are unloaded after an idle minute, in turn
+        simulation.runIdle(Span::seconds(130));  // records are unloaded after an idle minute, in turn
         state.counters["bytes_used"] = static_cast<double>(used - before) / destinations;
         state.counters["bytes_idle"] = static_cast<double>(mallinfo2().uordblks - before) / destinations;
     }
--- a/src/policy/logic.hpp
+++ b/src/policy/logic.hpp
@@ -160,7 +160,7 @@
         if (recheckAt_ < Instant::never()) timers_.insert({recheckAt_, TimerKind::recheck, ix});
     }
 
-    static constexpr size_t kMaxDestinations = 64; static constexpr int kMaxTexts = 256;  // compared
+    static constexpr size_t kMaxDestinations = 64; static constexpr int kMaxTexts = 256;  // compared at a time
     Random random_;
     std::vector<Product> products_;
     std::vector<KindState> kindStates_;
--- a/tests/logic_test.cpp
+++ b/tests/logic_test.cpp
@@ -34,9 +34,9 @@
     rig.text(0, 0);
     REQUIRE(rig.pull() == 1);
     rig.end(rig.submits[0], SubmitStatus::overloaded);
-    size_t delivered = 0, handed = 1;
-    for (int clump = 0; clump < 3000; ++clump) {
-        for (int i = 0; i < 3; ++i) rig.text(0, 0), ++handed;
+    size_t delivered = 0, arrivals = 1;
+    for (int burst = 0; burst < 3000; ++burst) {
+        for (int i = 0; i < 3; ++i) rig.text(0, 0), ++arrivals;
         std::vector<Submit> out;
         // Checks each microsecond, so that the token is found at any stage of its refill.
         for (int i = 0; i < 40; ++i) {
@@ -47,7 +47,7 @@
         rig.now = rig.now + Span::millis(50);
         for (const Submit& s : out) rig.end(s, SubmitStatus::delivered), ++delivered;
     }
-    CHECK(delivered > handed / 2);
+    CHECK(delivered > arrivals / 2);
     // The bucket was deactivated long ago and limits nothing any more.
     for (int i = 0; i < 4; ++i) rig.text(0, 0);
     CHECK(rig.pull() == 4);
@@ -92,10 +92,10 @@
     routes.endpoints(0, 0, 2, 1);
     routes.text(0, 0);
     REQUIRE(routes.pull() == 1);
-    EndpointIndex told = routes.submits[0].endpoint;
+    EndpointIndex waiting = routes.submits[0].endpoint;
     routes.end(routes.submits[0], SubmitStatus::overloaded, Span::seconds(1));
     REQUIRE(routes.pull() == 1);
-    CHECK(routes.submits[0].endpoint != told);
+    CHECK(routes.submits[0].endpoint != waiting);
 }
 
 TEST_CASE("a sender that shuts down starts no call that would be cut off, and still answers its texts") {
@@ -464,7 +464,7 @@
 
 TEST_CASE("after a rejection, a requested wait or an outage, a hundred senders do not act at the same time") {
     SubmitStatus how = GENERATE(SubmitStatus::overloaded, SubmitStatus::unreachable);
-    Span told = how == SubmitStatus::overloaded ? GENERATE(Span(), Span::seconds(1)) : Span();
+    Span wait = how == SubmitStatus::overloaded ? GENERATE(Span(), Span::seconds(1)) : Span();
     std::map<int, size_t> bySecond;
     size_t inTime = 0;
     for (uint32_t seed = 1; seed <= 100; ++seed) {
@@ -474,7 +474,7 @@
         rig.endpoints(0, 0, 1, 0, 4);  // 4 calls per second for all: one turn takes longer than a text is valid
         rig.text(0, 0);
         REQUIRE(rig.pull() == 1);
-        rig.end(rig.submits[0], how, told);
+        rig.end(rig.submits[0], how, wait);
         int tenths = 0;
         while (tenths < 170 && rig.run(Span::millis(100)).empty()) ++tenths;
         if (tenths < 170) ++inTime, ++bySecond[tenths / 10];
@@ -649,7 +649,7 @@
 }
 
 // Calls that one of 100 senders starts in 3 s after a destination's limit was cut to a quarter and restored.
-static size_t sentAfterReturn(double left) {
+static size_t sentAfterRestoredLimit(double remaining) {
     Set set;
     set.crew.senders = 100;
     Rig rig(set);
@@ -667,18 +667,18 @@
     for (int i = 0; i < 40; ++i) rig.text(0, 0);
     size_t sent = 0;
     for (int i = 0; i < 400 && sent < 2; ++i) {
-        for (const Submit& s : rig.run(Span::millis(50))) end(s, SubmitStatus::delivered, 400, left), ++sent;
+        for (const Submit& s : rig.run(Span::millis(50))) end(s, SubmitStatus::delivered, 400, remaining), ++sent;
     }
     sent = 0;
     for (int i = 0; i < 60; ++i) {
-        for (const Submit& s : rig.run(Span::millis(50))) end(s, SubmitStatus::delivered, 400, left), ++sent;
+        for (const Submit& s : rig.run(Span::millis(50))) end(s, SubmitStatus::delivered, 400, remaining), ++sent;
     }
     return sent;
 }
 
 TEST_CASE("the fair share is used again at once if answers report that most of the limit is unused") {
-    CHECK(sentAfterReturn(0.9) >= 7);  // 4 per second for each sender, in 3 s
-    CHECK(sentAfterReturn(0) <= 5);
+    CHECK(sentAfterRestoredLimit(0.9) >= 7);  // 4 per second for each sender, in 3 s
+    CHECK(sentAfterRestoredLimit(0) <= 5);
 }
 
 TEST_CASE("with all slots taken, a call long overtaken at its endpoint is cancelled, even if none was lost before") {
--- a/tests/rules_model_test.cpp
+++ b/tests/rules_model_test.cpp
@@ -6,31 +6,31 @@
 
 namespace {
 
-struct Late {
+struct PendingResult {
     Instant at;
     Submit submit;
-    SubmitStatus end;
+    SubmitStatus status;
     Span wait;
 };
 
-void play(Set set, uint32_t seed, double badShare) {
-    std::mt19937 chance(seed);
-    auto draw = [&](uint32_t n) { return static_cast<uint32_t>(chance() % n); };
+void runBesideModel(Set set, uint32_t seed, double failureShare) {
+    std::mt19937 random(seed);
+    auto draw = [&](uint32_t n) { return static_cast<uint32_t>(random() % n); };
     Rig rig(set, seed);
     for (uint32_t d = 0; d < 4; ++d) rig.endpoints(d, 3 * d, 1 + draw(3), d % 3, 1 + draw(20));
-    std::vector<Late> late;
+    std::vector<PendingResult> pending;
     std::vector<TextIndex> texts;
     Instant stop = rig.now + Span::seconds(25);
     while (rig.now < stop + Span::seconds(25)) {
         rig.now = rig.now + Span::millis(5 + draw(30));
         // Results arrive in order of their drawn times, in the round after their submit at the earliest.
-        std::stable_sort(late.begin(), late.end(), [](auto& a, auto& b) { return a.at < b.at; });
-        while (!late.empty() && late.front().at <= rig.now) {
-            Late l = late.front();
-            late.erase(late.begin());
-            auto& row = rig.rules.rows[l.submit.text];
-            if (rig.now >= row.arrival.validUntil) l.end = SubmitStatus::timeout, l.wait = Span();
-            rig.end(l.submit, l.end, l.wait);
+        std::stable_sort(pending.begin(), pending.end(), [](auto& a, auto& b) { return a.at < b.at; });
+        while (!pending.empty() && pending.front().at <= rig.now) {
+            PendingResult next = pending.front();
+            pending.erase(pending.begin());
+            auto& row = rig.rules.rows[next.submit.text];
+            if (rig.now >= row.arrival.validUntil) next.status = SubmitStatus::timeout, next.wait = Span();
+            rig.end(next.submit, next.status, next.wait);
         }
         if (rig.now < stop && draw(3) == 0) {
             std::optional<uint64_t> key;
@@ -51,17 +51,17 @@
             Instant limit = rig.rules.rows[s.text].arrival.validUntil;
             if (s.timeout > Span()) limit = std::min(limit, rig.now + s.timeout);
             Instant at = rig.now + Span::millis(6 + draw(600));
-            SubmitStatus how = SubmitStatus::delivered;
+            SubmitStatus status = SubmitStatus::delivered;
             Span wait;
-            if (draw(1000) < badShare * 1000) {
+            if (draw(1000) < failureShare * 1000) {
                 const SubmitStatus bad[] = {SubmitStatus::error,       SubmitStatus::overloaded,
                                             SubmitStatus::timeout,     SubmitStatus::unreachable,
                                             SubmitStatus::reset,       SubmitStatus::notSent};
-                how = bad[draw(6)];
-                if (how == SubmitStatus::overloaded && draw(2) == 0) wait = Span::millis(draw(2000));
+                status = bad[draw(6)];
+                if (status == SubmitStatus::overloaded && draw(2) == 0) wait = Span::millis(draw(2000));
             }
-            if (at >= limit) at = limit, how = SubmitStatus::timeout, wait = Span();
-            late.push_back({at, s, how, wait});
+            if (at >= limit) at = limit, status = SubmitStatus::timeout, wait = Span();
+            pending.push_back({at, s, status, wait});
         }
     }
     REQUIRE(texts.size() > 50);
@@ -85,13 +85,13 @@
 
 TEST_CASE("the module does nothing that the rules model forbids, and answers every text once") {
     uint32_t seed = GENERATE(take(12, random(1, 1'000'000)));
-    double bad = GENERATE(0.0, 0.2, 0.7);
-    play(Set{}, seed, bad);
+    double failureShare = GENERATE(0.0, 0.2, 0.7);
+    runBesideModel(Set{}, seed, failureShare);
 }
 
 TEST_CASE("with every product in order, the module follows the rules model") {
     uint32_t seed = GENERATE(take(12, random(1, 1'000'000)));
-    play(inOrder(), seed, GENERATE(0.0, 0.3));
+    runBesideModel(inOrder(), seed, GENERATE(0.0, 0.3));
 }
 
 TEST_CASE("under unusual settings, the module follows the rules model") {
@@ -107,5 +107,5 @@
     SECTION("one slot, a store of one") { set.room.maxCalls = set.room.maxTexts = 1; }
     SECTION("thousands of senders") { set.crew.senders = 5000; }
     SECTION("no kinds are named, so every endpoint is of the default kind") { set.kinds.resize(3, EndpointKind{}); }
-    play(set, GENERATE(take(6, random(1, 1'000'000))), 0.3);
+    runBesideModel(set, GENERATE(take(6, random(1, 1'000'000))), 0.3);
 }
--- a/tests/scale_test.cpp
+++ b/tests/scale_test.cpp
@@ -9,10 +9,10 @@
 
 namespace {
 
-struct WholeEndpoint {
+struct LoadedEndpoint {
     EndpointCore core;
 };
-struct WholeDestination {
+struct LoadedDestination {
     DestinationCore core;
     std::vector<uint32_t> endpoints;
 };
@@ -29,12 +29,12 @@
 struct Records : EndpointRegistry<GroupRecord, EndpointRecord> {
     using EndpointRegistry::destination, EndpointRegistry::forgetDestination, EndpointRegistry::removeIfUnused,
         EndpointRegistry::endpoints_, EndpointRegistry::groupOf, EndpointRegistry::groups_;
-    void tell(ListScope scope, const std::vector<ListEntry>& entries) {
+    void apply(ListScope scope, const std::vector<ListEntry>& entries) {
         applyList(scope, entries, true, [](KindIndex kind) { return kind == KindIndex(1u); });
     }
 };
 
-Set manySet(int calls, int held) {
+Set settingsFor(int calls, int held) {
     Set set;
     set.products = {{Span::seconds(3), Span::seconds(20), Effect::idempotent, Span(), false, 1, 0.3}};
     set.kinds = {{1, false}};
@@ -43,14 +43,14 @@
 }
 
 // A simulation in which every call ends after 20 ms with the result chosen for its destination.
-struct Crowd : Rig {
+struct Simulation : Rig {
     std::multimap<Instant, std::pair<Submit, SubmitStatus>> ends;
-    std::function<SubmitStatus(uint32_t destination)> how = [](uint32_t) { return SubmitStatus::delivered; };
+    std::function<SubmitStatus(uint32_t destination)> resultOf = [](uint32_t) { return SubmitStatus::delivered; };
     std::map<SubmitStatus, long> ended;
-    long further = 0, nacked = 0, mostOut = 0;
-    std::map<uint32_t, long> outOf, nackedOf;
+    long retries = 0, nacked = 0, maxInFlight = 0;
+    std::map<uint32_t, long> inFlightOf, nackedOf;
 
-    Crowd(Set s, uint32_t destinations) : Rig(std::move(s)) {
+    Simulation(Set s, uint32_t destinations) : Rig(std::move(s)) {
         std::vector<ListEntry> entries;
         for (uint32_t d = 0; d < destinations; ++d) {
             entries.push_back(
@@ -62,9 +62,9 @@
         pull();
         for (const Submit& s : submits) {
             uint32_t d = s.endpoint.value;
-            further += count[s.text] > 1;
-            mostOut = std::max(mostOut, ++outOf[d]);
-            ends.emplace(now + Span::millis(20), std::pair(s, how(d)));
+            retries += count[s.text] > 1;
+            maxInFlight = std::max(maxInFlight, ++inFlightOf[d]);
+            ends.emplace(now + Span::millis(20), std::pair(s, resultOf(d)));
         }
         for (const Decision& d : others) {
             const auto* nack = std::get_if<Nack>(&d);
@@ -73,11 +73,11 @@
         while (!ends.empty() && ends.begin()->first <= now) {
             auto [submit, end] = ends.begin()->second;
             ends.erase(ends.begin());
-            --outOf[submit.endpoint.value], ++ended[end];
+            --inFlightOf[submit.endpoint.value], ++ended[end];
             Rig::end(submit, end);
         }
     }
-    void go(
+    void runFor(
         Span span, const std::function<void()>& each = [] {}) {
         for (Instant until = now + span; now < until; now = now + Span::millis(5)) each(), step();
     }
@@ -86,37 +86,37 @@
 }  // namespace
 
 TEST_CASE("NameTable agrees with a plain map over random interning and releasing") {
-    std::mt19937 chance(3);
-    NameTable<DestinationIndex> door;
+    std::mt19937 random(3);
+    NameTable<DestinationIndex> table;
     std::map<std::string, DestinationIndex> model;
     for (int i = 0; i < 20000; ++i) {
-        std::string name = "n" + std::to_string(chance() % 700);
-        if (chance() % 2 == 0) {
-            DestinationIndex ix = door.intern(name);
+        std::string name = "n" + std::to_string(random() % 700);
+        if (random() % 2 == 0) {
+            DestinationIndex ix = table.intern(name);
             if (auto known = model.find(name); known != model.end()) CHECK(known->second == ix);
-            for (int k = 0; k < 3 && i % 100 == 0; ++k) CHECK(door.name(ix) == name);
+            for (int k = 0; k < 3 && i % 100 == 0; ++k) CHECK(table.name(ix) == name);
             model[name] = ix;
         } else if (auto known = model.find(name); known != model.end()) {
-            CHECK(door.find(name) == known->second);
-            door.release(known->second);
+            CHECK(table.find(name) == known->second);
+            table.release(known->second);
             model.erase(known);
         } else {
-            CHECK(!door.find(name).isKnown());
+            CHECK(!table.find(name).isKnown());
         }
     }
     std::set<DestinationIndex> indices;
-    for (const auto& [name, ix] : model) CHECK((door.find(name) == ix && indices.insert(ix).second));
+    for (const auto& [name, ix] : model) CHECK((table.find(name) == ix && indices.insert(ix).second));
     CHECK(model.size() > 200);
 }
 
 TEST_CASE("WaitQueues hold an index once, and RoundRobinSet visits all of its indices") {
-    std::mt19937 chance(4);
+    std::mt19937 random(4);
     WaitQueues queues;
     std::map<uint32_t, WaitReason> model;
     std::vector<uint32_t> turn;
     for (int i = 0; i < 5000; ++i) {
-        uint32_t ix = chance() % 300;
-        auto row = static_cast<WaitReason>(chance() % 5);
+        uint32_t ix = random() % 300;
+        auto row = static_cast<WaitReason>(random() % 5);
         queues.park(ix, row);
         model[ix] = row;
         if (i % 500 == 0) {
@@ -148,7 +148,7 @@
         return ListEntry{EndpointIndex(e), DestinationIndex(d), ZoneIndex(0u), KindIndex(kind), state, 5.0};
     };
     Records all;
-    all.tell(ListScope::complete, {entry(0, 0, 0), entry(1, 0, 0), entry(2, 1, 1), entry(3, 1, 1)});
+    all.apply(ListScope::complete, {entry(0, 0, 0), entry(1, 0, 0), entry(2, 1, 1), entry(3, 1, 1)});
     CHECK(all.groupOf(EndpointIndex(0u)) == all.groupOf(EndpointIndex(1u)));
     CHECK(all.groupOf(EndpointIndex(2u)) != all.groupOf(EndpointIndex(3u)));
     CHECK(all.groups_.core(all.groupOf(EndpointIndex(3u))).listedRate == 5);
@@ -156,34 +156,34 @@
 
     // An endpoint missing from a complete list is kept until its last call in flight has ended.
     all.endpoints_[2].inFlight.starts.insert(Instant());
-    all.tell(ListScope::complete, {entry(0, 0, 0), entry(3, 1, 1)});
+    all.apply(ListScope::complete, {entry(0, 0, 0), entry(3, 1, 1)});
     CHECK(all.destination(DestinationIndex(0u)).endpoints == std::vector<uint32_t>{0});
     CHECK(all.destination(DestinationIndex(1u)).endpoints == std::vector<uint32_t>{2, 3});
     uint32_t freed = all.groupOf(EndpointIndex(2u));
     all.endpoints_[2].inFlight.starts.clear(), all.removeIfUnused(2);
     CHECK(all.destination(DestinationIndex(1u)).endpoints == std::vector<uint32_t>{3});
     CHECK(all.groups_.core(freed).listedRate == 0);
-    all.tell(ListScope::changes, {entry(4, 2, 0)});
+    all.apply(ListScope::changes, {entry(4, 2, 0)});
     CHECK(all.groupOf(EndpointIndex(4u)) == freed);
 
     // A cached list removes nothing for good.
-    all.tell(ListScope::cached, {entry(3, 1, 1)});
+    all.apply(ListScope::cached, {entry(3, 1, 1)});
     CHECK(!all.endpoints_.core(0).usable());
     CHECK(all.destination(DestinationIndex(0u)).endpoints == std::vector<uint32_t>{0});
-    all.tell(ListScope::changes, {entry(4, 2, 0, ListState::removed)}), all.forgetDestination(DestinationIndex(2u));
-    all.tell(ListScope::changes, {entry(5, 3, 0)});
+    all.apply(ListScope::changes, {entry(4, 2, 0, ListState::removed)}), all.forgetDestination(DestinationIndex(2u));
+    all.apply(ListScope::changes, {entry(5, 3, 0)});
     CHECK(all.groupOf(EndpointIndex(5u)) == freed);
 }
 
 TEST_CASE("endpoint chains agree with plain lists") {
-    std::mt19937 chance(5);
-    LazyTable<WholeEndpoint, EndpointCore> endpoints;
-    LazyTable<WholeDestination, DestinationCore> destinations;
+    std::mt19937 random(5);
+    LazyTable<LoadedEndpoint, EndpointCore> endpoints;
+    LazyTable<LoadedDestination, DestinationCore> destinations;
     std::map<uint32_t, std::vector<uint32_t>> model;
     std::map<uint32_t, uint32_t> home;
     destinations.ensureSize(19);
     for (int i = 0; i < 5000; ++i) {
-        uint32_t e = chance() % 200, d = chance() % 20;
+        uint32_t e = random() % 200, d = random() % 20;
         if (auto at = home.find(e); at != home.end()) {
             unlink(endpoints, destinations, e);
             std::erase(model[at->second], e);
@@ -192,22 +192,22 @@
             link(endpoints, destinations, e, {DestinationIndex(d), ZoneIndex(), KindIndex(), 0, kNone, true, false});
             model[d].push_back(e), home[e] = d;
         }
-        if (chance() % 10 == 0)
+        if (random() % 10 == 0)
             destinations[d].endpoints = endpointChain(endpoints, destinations.core(d).first);
-        if (chance() % 10 == 0) destinations.unload(d);
+        if (random() % 10 == 0) destinations.unload(d);
         CHECK(endpointChain(endpoints, destinations.core(d).first) == model[d]);
         if (const auto* whole = destinations.find(d)) CHECK(whole->endpoints == model[d]);
     }
 }
 
 TEST_CASE("DeliveryHistory agrees with counting each delivery") {
-    std::mt19937 chance(6);
+    std::mt19937 random(6);
     DeliveryHistory history;
     std::vector<Instant> all;
     Instant now = Instant::atMicros(0);
     for (int i = 0; i < 3000; ++i) {
-        now = now + Span::millis(chance() % 60);
-        if (chance() % 3 > 0) history.add(now), all.push_back(now);
+        now = now + Span::millis(random() % 60);
+        if (random() % 3 > 0) history.add(now), all.push_back(now);
         for (Span over : {Span::seconds(2), Span::seconds(20)}) {
             auto within = std::count_if(all.begin(), all.end(), [&](Instant at) { return now - at <= over; });
             CHECK(history.rate(now, over) == Approx(static_cast<double>(within) / over.inSeconds()));
@@ -216,121 +216,121 @@
 }
 
 TEST_CASE("after a minute in which all destinations are overloaded, all new texts are delivered") {
-    Crowd crowd(manySet(256, 0), 300);
+    Simulation sim(settingsFor(256, 0), 300);
     bool full = true;
-    crowd.how = [&](uint32_t) { return full ? SubmitStatus::overloaded : SubmitStatus::delivered; };
-    auto arrive = [&] { crowd.text(crowd.nextText * 7919 % 300, 0); };
-    crowd.go(Span::seconds(60), arrive);
-    long before = crowd.ended[SubmitStatus::overloaded];
+    sim.resultOf = [&](uint32_t) { return full ? SubmitStatus::overloaded : SubmitStatus::delivered; };
+    auto arrive = [&] { sim.text(sim.nextText * 7919 % 300, 0); };
+    sim.runFor(Span::seconds(60), arrive);
+    long before = sim.ended[SubmitStatus::overloaded];
     // Bound of the wasted submits: all slots once at first, then once in four seconds; the first submit of each text.
-    CHECK(crowd.further < 256 + 256 * 60 / 4 + 300);
-    CHECK(before < 12000 + crowd.further + 1);
+    CHECK(sim.retries < 256 + 256 * 60 / 4 + 300);
+    CHECK(before < 12000 + sim.retries + 1);
     full = false;
-    crowd.go(Span::seconds(25));
-    uint32_t first = crowd.nextText;
-    crowd.go(Span::seconds(5), arrive);
-    crowd.go(Span::seconds(3));
+    sim.runFor(Span::seconds(25));
+    uint32_t first = sim.nextText;
+    sim.runFor(Span::seconds(5), arrive);
+    sim.runFor(Span::seconds(3));
     long late = 0;
-    for (uint32_t t = first; t < crowd.nextText; ++t) late += !crowd.rules.rows.at(TextIndex(t)).over;
+    for (uint32_t t = first; t < sim.nextText; ++t) late += !sim.rules.rows.at(TextIndex(t)).over;
     CHECK(late == 0);
-    CHECK(crowd.ended[SubmitStatus::delivered] >= static_cast<long>(crowd.nextText - first));
+    CHECK(sim.ended[SubmitStatus::delivered] >= static_cast<long>(sim.nextText - first));
 }
 
 TEST_CASE("when a large share of destinations fails, retries stay within what others deliver") {
-    Crowd crowd(manySet(64, 0), 2000);
-    crowd.how = [](uint32_t d) { return d < 1800 ? SubmitStatus::unreachable : SubmitStatus::delivered; };
-    crowd.go(Span::seconds(20), [&] {
-        crowd.text(crowd.nextText * 7919 % 2000, 0), crowd.text(crowd.nextText * 104729 % 2000, 0);
+    Simulation sim(settingsFor(64, 0), 2000);
+    sim.resultOf = [](uint32_t d) { return d < 1800 ? SubmitStatus::unreachable : SubmitStatus::delivered; };
+    sim.runFor(Span::seconds(20), [&] {
+        sim.text(sim.nextText * 7919 % 2000, 0), sim.text(sim.nextText * 104729 % 2000, 0);
     });
-    long delivered = crowd.ended[SubmitStatus::delivered];
+    long delivered = sim.ended[SubmitStatus::delivered];
     CHECK(delivered > 700);
-    CHECK(crowd.further < delivered + 64 + 64 * 20 / 4 + 64);
+    CHECK(sim.retries < delivered + 64 + 64 * 20 / 4 + 64);
     // The healthy destinations lose nothing by it.
     long waits = 0;
-    for (const auto& [ix, row] : crowd.rules.rows) {
+    for (const auto& [ix, row] : sim.rules.rows) {
         waits += row.arrival.destination.value >= 1800 && !row.over &&
-                 crowd.now - (row.arrival.validUntil - Span::seconds(20)) > Span::seconds(1);
+                 sim.now - (row.arrival.validUntil - Span::seconds(20)) > Span::seconds(1);
     }
     CHECK(waits == 0);
 }
 
 TEST_CASE("with 20,000 texts for one hung destination, all others are delivered and its backlog is bounded") {
-    Crowd crowd(manySet(32, 4000), 50);
-    crowd.how = [](uint32_t d) { return d == 0 ? SubmitStatus::timeout : SubmitStatus::delivered; };
+    Simulation sim(settingsFor(32, 4000), 50);
+    sim.resultOf = [](uint32_t d) { return d == 0 ? SubmitStatus::timeout : SubmitStatus::delivered; };
     uint32_t n = 0;
-    crowd.go(Span::seconds(10), [&] {
-        for (int i = 0; i < 10; ++i) crowd.text(0, 0);
-        crowd.text(1 + n++ % 49, 0);
+    sim.runFor(Span::seconds(10), [&] {
+        for (int i = 0; i < 10; ++i) sim.text(0, 0);
+        sim.text(1 + n++ % 49, 0);
     });
-    crowd.go(Span::seconds(1));
-    long held = 0, othersOpen = 0;
-    for (const auto& [ix, row] : crowd.rules.rows) {
+    sim.runFor(Span::seconds(1));
+    long held = 0, otherTexts = 0;
+    for (const auto& [ix, row] : sim.rules.rows) {
         if (row.over) continue;
-        (row.arrival.destination.value == 0 ? held : othersOpen) += 1;
+        (row.arrival.destination.value == 0 ? held : otherTexts) += 1;
     }
-    CHECK(othersOpen == 0);
+    CHECK(otherTexts == 0);
     CHECK(held <= 2000 + 32);  // half of the store
-    CHECK(crowd.nackedOf[0] > 17000);
-    CHECK(crowd.nacked == crowd.nackedOf[0]);
+    CHECK(sim.nackedOf[0] > 17000);
+    CHECK(sim.nacked == sim.nackedOf[0]);
 }
 
 TEST_CASE("5,000 idle destinations that get texts at once are all served, none above its initial limit") {
-    Crowd crowd(manySet(256, 0), 5000);
-    crowd.go(Span::seconds(1), [&] { crowd.text(crowd.nextText * 7919 % 5000, 0); });
-    crowd.go(Span::seconds(90));  // all records are unloaded
-    crowd.outOf.clear(), crowd.mostOut = 0;
-    uint32_t first = crowd.nextText;
-    for (uint32_t d = 0; d < 5000; ++d) crowd.text(d, 0), crowd.text(d, 0);
-    crowd.go(Span::seconds(8));
+    Simulation sim(settingsFor(256, 0), 5000);
+    sim.runFor(Span::seconds(1), [&] { sim.text(sim.nextText * 7919 % 5000, 0); });
+    sim.runFor(Span::seconds(90));  // all records are unloaded
+    sim.inFlightOf.clear(), sim.maxInFlight = 0;
+    uint32_t first = sim.nextText;
+    for (uint32_t d = 0; d < 5000; ++d) sim.text(d, 0), sim.text(d, 0);
+    sim.runFor(Span::seconds(8));
     long open = 0;
-    for (uint32_t t = first; t < crowd.nextText; ++t) open += !crowd.rules.rows.at(TextIndex(t)).over;
+    for (uint32_t t = first; t < sim.nextText; ++t) open += !sim.rules.rows.at(TextIndex(t)).over;
     CHECK(open == 0);
-    CHECK(crowd.mostOut <= 2);
+    CHECK(sim.maxInFlight <= 2);
 }
 
 TEST_CASE("a requested wait and an outage outlive the unloading of a destination, but not its removal") {
-    Crowd crowd(manySet(64, 0), 4);
+    Simulation sim(settingsFor(64, 0), 4);
     SubmitStatus end = SubmitStatus::unreachable;
-    crowd.how = [&](uint32_t d) { return d == 1 ? end : SubmitStatus::delivered; };
+    sim.resultOf = [&](uint32_t d) { return d == 1 ? end : SubmitStatus::delivered; };
     // Destination 0 asks for a wait of 150 s, 1 is down, 2 and 3 are healthy.
-    crowd.text(0, 0);
-    crowd.pull();
-    REQUIRE(crowd.submits.size() == 1);
-    crowd.end(crowd.submits[0], SubmitStatus::overloaded, Span::seconds(150));
-    crowd.go(Span::seconds(4), [&] { crowd.text(1, 0), crowd.text(2, 0); });
-    crowd.go(Span::seconds(110));  // longer than a text is valid, and long enough to be unloaded
-    crowd.ended.clear();
+    sim.text(0, 0);
+    sim.pull();
+    REQUIRE(sim.submits.size() == 1);
+    sim.end(sim.submits[0], SubmitStatus::overloaded, Span::seconds(150));
+    sim.runFor(Span::seconds(4), [&] { sim.text(1, 0), sim.text(2, 0); });
+    sim.runFor(Span::seconds(110));  // longer than a text is valid, and long enough to be unloaded
+    sim.ended.clear();
     for (uint32_t d = 0; d < 3; ++d) {
-        for (int i = 0; i < 10; ++i) crowd.text(d, 0);
+        for (int i = 0; i < 10; ++i) sim.text(d, 0);
     }
-    crowd.pull();
+    sim.pull();
     std::map<uint32_t, int> sent;
-    for (const Submit& s : crowd.submits) ++sent[s.endpoint.value];
+    for (const Submit& s : sim.submits) ++sent[s.endpoint.value];
     CHECK(sent[0] == 0);  // the rules model would fail as well
     CHECK(sent[1] <= 1);
     CHECK(sent[2] > 1);
-    for (const Submit& s : crowd.submits) crowd.end(s, SubmitStatus::delivered);
+    for (const Submit& s : sim.submits) sim.end(s, SubmitStatus::delivered);
     // Its endpoint and its name are removed, and the index is reused.
-    crowd.go(Span::seconds(21));
-    crowd.list({{EndpointIndex(1), DestinationIndex(1), ZoneIndex(0u), KindIndex(0u), ListState::removed, 0}});
-    crowd.sender->onDestinationRemoved(crowd.now, DestinationIndex(1));
-    crowd.list({{EndpointIndex(1), DestinationIndex(1), ZoneIndex(0u), KindIndex(0u), ListState::active, 0}});
-    for (int i = 0; i < 10; ++i) crowd.text(1, 0);
-    crowd.pull();
-    CHECK(crowd.submits.size() > 1);
+    sim.runFor(Span::seconds(21));
+    sim.list({{EndpointIndex(1), DestinationIndex(1), ZoneIndex(0u), KindIndex(0u), ListState::removed, 0}});
+    sim.sender->onDestinationRemoved(sim.now, DestinationIndex(1));
+    sim.list({{EndpointIndex(1), DestinationIndex(1), ZoneIndex(0u), KindIndex(0u), ListState::active, 0}});
+    for (int i = 0; i < 10; ++i) sim.text(1, 0);
+    sim.pull();
+    CHECK(sim.submits.size() > 1);
 }
 
 TEST_CASE("a clock that jumps between two rounds breaks no rule and stalls nothing") {
-    Crowd crowd(manySet(64, 500), 100);
-    crowd.how = [&](uint32_t d) { return d % 5 == 0 ? SubmitStatus::overloaded : SubmitStatus::delivered; };
+    Simulation sim(settingsFor(64, 500), 100);
+    sim.resultOf = [&](uint32_t d) { return d % 5 == 0 ? SubmitStatus::overloaded : SubmitStatus::delivered; };
     for (int i = 0; i < 12; ++i) {
-        crowd.go(Span::seconds(1), [&] { crowd.text(crowd.nextText * 31 % 100, 0); });
-        crowd.now = crowd.now + Span::seconds(i % 3 == 0 ? 7 : 1);
+        sim.runFor(Span::seconds(1), [&] { sim.text(sim.nextText * 31 % 100, 0); });
+        sim.now = sim.now + Span::seconds(i % 3 == 0 ? 7 : 1);
     }
-    uint32_t first = crowd.nextText;
-    for (uint32_t d = 1; d < 100; d += 5) crowd.text(d, 0);
-    crowd.go(Span::seconds(1));
+    uint32_t first = sim.nextText;
+    for (uint32_t d = 1; d < 100; d += 5) sim.text(d, 0);
+    sim.runFor(Span::seconds(1));
     long open = 0;
-    for (uint32_t t = first; t < crowd.nextText; ++t) open += !crowd.rules.rows.at(TextIndex(t)).over;
+    for (uint32_t t = first; t < sim.nextText; ++t) open += !sim.rules.rows.at(TextIndex(t)).over;
     CHECK(open == 0);
 }
