--- a/system/consensus/cluster_for_test.hpp
+++ b/system/consensus/cluster_for_test.hpp
@@ -1,5 +1,5 @@
-// Cores on simulated machines: their clocks, disks, links, starts and ends. What they answer is judged by
-// whoever derives from it.
+// Cores on simulated machines: their clocks, disks, links, starts and ends. Derived classes check the
+// results.
 #pragma once
 
 #include <algorithm>
@@ -23,15 +23,16 @@
     int losses = 1;
     Defect defect = Defect::none;
     bool faults = true;
-    double seconds = 25;  // of faults; then all heals and must work
+    double seconds = 25;  // of faults; afterwards everything heals and must work
     bool clients = true;
-    int spares = 0;  // cores that start later, and may come onto the voters
-    bool losesSeedDisks =
-        false;  // two seeds may lose their disks before there is a set of voters: no work asked for then
-    bool isolatesHolder = false;   // all but the holder start anew, while nobody hears it
-    bool serviceTimings = false;   // the spans of the program in service, instead of the longer default ones
-    bool differingClocks = false;  // differing clocks, without faults of World's own
-    bool diskFaults = false;       // of Losses: now and then a disk refuses writes or hangs, which is no loss
+    int spares = 0;  // cores that start later and may become voters
+    // Two seeds may lose their disks before the voters are agreed; progress is not required then.
+    bool losesSeedDisks = false;
+    bool isolatesHolder = false;   // all but the holder restart while it is isolated
+    bool serviceTimings = false;   // the shorter timings of the deployed program instead of the defaults
+    bool differingClocks = false;  // differing clocks even if `faults` is false
+    // For LossSchedule: disks that refuse writes or hang, which do not count as losses.
+    bool diskFaults = false;
 };
 
 class Cluster : public simulation::Simulation {
@@ -39,7 +40,7 @@
     explicit Cluster(const Plan& plan) : Simulation(plan.seed), plan_(plan) {
         for (int i = 0; i < plan_.cores + plan_.spares; ++i) {
             nodes_.push_back(Node{"10.0.0." + std::to_string(i + 1)});
-            // Clocks differ in what they show, and by up to a sixteenth in how fast they go.
+            // Clocks differ in their offset, and by up to one sixteenth in their rate.
             if (!plan_.faults && !plan_.differingClocks) continue;
             nodes_.back().clockOffset = below(millis(100000));
             nodes_.back().clockDrift = static_cast<double>(below(62500)) / 1e6;
@@ -48,7 +49,7 @@
 
     virtual ~Cluster() = default;
 
-    // The parts, for tests with a script of their own.
+    // Public, so that tests can script the cluster themselves.
     struct Node {
         NodeId id;
         std::unique_ptr<Core> core = nullptr;
@@ -59,15 +60,15 @@
         std::vector<SaveRequest> unsynced = {};
         int64_t frozenUntil = 0;
         int64_t wakeSet = -1;
-        bool diskRefusesWrites = false;  // refuses writes
-        int64_t diskHangsUntil = 0;      // writes are done then, and not before
-        bool diskLost = false;           // lost its disk and has not yet rebuilt it
-        bool removed = false;            // for good, or not here yet
+        bool diskRefusesWrites = false;  // writes fail
+        int64_t diskHangsUntil = 0;      // writes complete no earlier
+        bool diskLost = false;           // lost its disk and has not rebuilt it yet
+        bool removed = false;            // permanently, or not started yet
         int64_t wipedAt = 0;
-        std::map<uint64_t, std::pair<bool, Value>> pendingTickets =
-            {};  // ticket: reading?, what must be reached
+        // By ticket: whether it is a read, and the value that the result must reach.
+        std::map<uint64_t, std::pair<bool, Value>> pendingTickets = {};
     };
-    // What the machine's clock shows, and what is left until it shows something.
+    // The time that the machine's clock shows, and the simulated time until it shows a given one.
     Instant clock(size_t i) const {
         const Node& n = nodes_[i];
         const auto run = static_cast<int64_t>(static_cast<double>(now_) * (1 + n.clockDrift));
@@ -81,7 +82,7 @@
         return std::find(all.begin(), all.end(), n) != all.end();
     }
 
-    // Those of the first start, or, where machines are replaced, three that are there as the settings are
+    // The seeds of the first start or, in a schedule of losses, three machines present when the settings are
     // written.
     std::vector<NodeId> seedsFor(size_t i) {
         if (const auto given = seedOverrides_.find(i); given != seedOverrides_.end()) return given->second;
@@ -123,7 +124,7 @@
         n.pendingTickets.clear();
         n.unsynced.clear();
     }
-    // Runs f in the core's process, after a freeze if it is frozen.
+    // Runs f in the core's process, after the end of a freeze.
     void runOn(size_t i, int life, std::function<void(Core&)> f) {
         Node& n = nodes_[i];
         if (n.life != life || !n.core) return;
@@ -157,13 +158,13 @@
             });
         });
     }
-    // Far more than any schedule sends that gets on: the most seen was 24, with three writers ten times a
-    // second.
+    // Far more than any schedule that makes progress sends: the highest rate was 24, with three writers at
+    // ten writes a second.
     static constexpr int64_t kMaxSendsPerSecondAndPair = 100;
     void limitSends() {
         const auto pairs = static_cast<int64_t>(nodes_.size() * nodes_.size());
         const int64_t seconds = 10 + now_ / 1000000;
-        if (++sends_ > kMaxSendsPerSecondAndPair * pairs * seconds) fail("messages multiply");
+        if (++sends_ > kMaxSendsPerSecondAndPair * pairs * seconds) fail("too many messages sent");
     }
     void deliver(size_t from, const SendRequest& s) {
         limitSends();
@@ -218,18 +219,19 @@
 
     Plan plan_;
     std::vector<Node> nodes_;
-    double loss_ = 0.02;                       // share of messages
-    std::set<std::pair<size_t, size_t>> cut_;  // from, to
-    std::function<void()> beginLosses_;  // begins a schedule of losses from outside; see losses_for_test.hpp
-    std::map<size_t, std::vector<NodeId>> seedOverrides_;  // as a test wants them
+    double loss_ = 0.02;                       // share of messages that are lost
+    std::set<std::pair<size_t, size_t>> cut_;  // blocked links as (from, to)
+    std::function<void()>
+        beginLosses_;  // starts an external schedule of losses; see loss_schedule_for_test.hpp
+    std::map<size_t, std::vector<NodeId>> seedOverrides_;  // seeds that a test sets explicitly
     std::function<bool(size_t, size_t, const Message&)>
-        dropMessage_;  // messages that a test loses on purpose
+        dropMessage_;  // returns true for messages that a test drops
     long sends_ = 0;
 
   protected:
     virtual void answered(size_t i, const OperationResult&) = 0;
     virtual void leaseChanged(size_t i, const Lease&) = 0;
-    virtual void stateChanged(size_t i) = 0;  // after every input of that core
+    virtual void stateChanged(size_t i) = 0;  // after every input to that core
 
   private:
     std::map<size_t, uint64_t> syncedToken_;
--- a/system/consensus/core.cpp
+++ b/system/consensus/core.cpp
@@ -1,4 +1,5 @@
-// The inputs and outputs of Core: what arrives, what is saved and when what was promised may be told.
+// Core's inputs and outputs: message dispatch, timers, saves, and replies that wait until a promise is
+// synced.
 #include "system/consensus/core_internal.hpp"
 
 namespace petrelpond::consensus {
@@ -44,15 +45,16 @@
         markDirty();
     }
     if (state_.recovering || !state_.mayElect) recoverAt_ = now + recoveryDelay(options_);
-    // Against a promise given before the restart, of which the disk has to whom and not until when: no vote
-    // for another within the time for which it was promised. It harms by one `leaseDuration` after a start of
-    // all without that one. Who had promised to itself stands sooner, as what it held ended with its earlier
-    // life; but not at once: where it alone had gone the others win meanwhile, who need not be found anew.
+    // The disk records to whom the last lease promise was given, but not its expiry. So for a whole promise
+    // duration after a restart this core votes for no other candidate. Drawback: if all cores restart without
+    // that holder, the next election waits for one leaseDuration. A core that had promised to itself stands
+    // sooner, since its own lease ended with the earlier process; but not at once, because if it alone
+    // restarted, another core wins meanwhile and the lease need not move again.
     leasePromisedTo_ = state_.leasePromisedTo;
     leasePromiseTerm_ = state_.term;
-    const bool hasty =
+    const bool skipsWait =
         options_.defect == Defect::forgetsPromises || options_.defect == Defect::votesRightAfterRestart;
-    leasePromisedUntil_ = hasty ? now : now + promiseDuration();
+    leasePromisedUntil_ = skipsWait ? now : now + promiseDuration();
     electionAt_ = leasePromisedTo_ == options_.self
                       ? now + options_.leaseDuration * 0.5
                       : leasePromisedUntil_ + randomSpan(options_.leaseDuration * 0.5);
@@ -79,7 +81,8 @@
 }
 bool Core::isElector() const { return state_.mayElect && !diskBroken_ && inElectors(options_.self); }
 
-// Whatever woke us may have come after a long sleep: what has lapsed meanwhile is told before all else.
+// Runs before every input. The process may have been frozen for long, so an expired lease is reported before
+// anything else.
 void Core::beginInput(Instant now) {
     inputAt_ = now;
     if (lease_.holder.empty() || now < lease_.validUntil) return;
@@ -147,8 +150,8 @@
     for (const auto& [node, peer] : peers_) send(node, m);
 }
 
-// Against a promise that a power loss takes back: nothing that binds this disk is told before it is synced.
-// It catches slow disks too, which then look like silent members.
+// Nothing that binds this disk is sent before it is synced; otherwise a power loss could revoke a promise.
+// With a slow disk this core therefore looks like a silent member.
 void Core::sendAfterSync(const NodeId& to, Message m) { sendAfterSave(nextToken(), to, std::move(m)); }
 
 void Core::sendAfterSave(uint64_t token, const NodeId& to, Message m) {
@@ -188,8 +191,9 @@
     endInput(now);
 }
 
-// Against a disk that is full or broken: what waits for it is never told, and this core neither answers as a
-// member nor stands for the duty until a whole Save has succeeded. Pauses grow up to 8 s.
+// The disk is full or broken: the messages that wait for it are never sent, and this core neither answers as
+// a voter nor stands for election until a complete save has succeeded. The pauses between attempts grow up to
+// 8 s.
 void Core::handleSaveFailure(Instant now, uint64_t token) {
     beginInput(now);
     if (token > syncedToken_) {
@@ -248,13 +252,12 @@
 
 void Core::handleHello(Instant now, const NodeId& from, const Message& m) {
     Peer& p = peers_[from];
-    if (!p.saidHello &&
-        state_.voters.empty()) {  // others may be about to come as well: the voters wait for them
+    if (!p.saidHello && state_.voters.empty()) {  // other cores may be starting too: wait for them
         proposeAt_ = std::max(proposeAt_, now + Span::millis(500));
     }
     p.saidHello = true;
     p.knowsNoVoters = m.granted;
-    // Against a ballot that begins while the others' processes still come up: who was not there is asked now.
+    // The pre-vote may have begun before this voter was up: ask it now.
     if (candidacy_ == Candidacy::preVoting && isVoter(from))
         sendAfterSave(termSaveToken_, from, makeVoteRequest());
     if (state_.electors.empty() && !m.electors.empty()) {
@@ -330,7 +333,7 @@
 
 void Core::handleLinkLoss(Instant now, const NodeId& peer) {
     beginInput(now);
-    // What was under way to it may be gone: asked again soon, not only after the whole pause.
+    // Requests on their way to this voter may be lost: resend soon instead of after the full pause.
     if (isVoter(peer)) {
         for (auto& [requestId, op] : operations_) op.resendAt = std::min(op.resendAt, now + Span::millis(50));
     }
@@ -341,21 +344,24 @@
     beginInput(now);
     if (now >= helloAt_) {
         forgetSilentPeers(now);
-        const bool lonely = state_.voters.empty() || state_.recovering || !rollbackChecked_;
-        const bool handsOver = leaving_ && selfIsVoter();
-        const double pause = handsOver ? kRetryHeartbeats : lonely ? 1 : lease_.holder.empty() ? 2 : 4;
+        const bool needsPeers = state_.voters.empty() || state_.recovering || !rollbackChecked_;
+        const bool isHandingOver = leaving_ && selfIsVoter();
+        const double pause = isHandingOver           ? kRetryHeartbeats
+                             : needsPeers            ? 1
+                             : lease_.holder.empty() ? 2
+                                                     : 4;
         helloAt_ = now + options_.heartbeatInterval * pause;
-        if (handsOver) {  // the word that our place is free may have been lost
+        if (isHandingOver) {  // the announcement that we leave may have been lost
             for (const NodeId& n : state_.voters)
                 if (n != options_.self) sendHello(n, MessageKind::hello);
-        } else if (lonely || lease_.holder.empty()) {
+        } else if (needsPeers || lease_.holder.empty()) {
             for (const NodeId& n : peers()) sendHello(n, MessageKind::hello);
         } else if (options_.mayVote &&
-                   !selfIsVoter()) {  // a standby: each member must know of it, see replaceAbsentVoter()
+                   !selfIsVoter()) {  // a standby: every member must know of it, see replaceAbsentVoter()
             for (const NodeId& n : state_.voters) sendHello(n, MessageKind::hello);
         } else if (!peers_.empty() && !lease_.held) {
-            // Cores that hear a holder still compare with one of the others now and then: the holder may be
-            // cut off from whoever holds the newest.
+            // Cores that hear from a holder still exchange a hello with one random peer now and then: the
+            // holder may be cut off from the core with the newest value.
             const auto any = static_cast<long>(random_() % peers_.size());
             sendHello(std::next(peers_.begin(), any)->first, MessageKind::hello);
         }
--- a/system/consensus/core.hpp
+++ b/system/consensus/core.hpp
@@ -1,10 +1,10 @@
-// The control state of the cores: one register on a majority of disks, the voters, whose disks
-// make up a majority, and ballots for one duty. No I/O, no threads, no clocks: inputs carry `now`, outputs
-// are pulled.
+// The replicated control state of the cores: a versioned register stored on a majority of disks, the set of
+// voters whose disks form that majority, and a lease that elects one holder. No I/O, no threads and no clock
+// access: every input carries `now`, and the caller pulls the outputs.
 //
-// The register: the highest version wins, and each version has one text (register.cpp); there is no log and
-// no leader, any core may write or read. Clocks: every span is measured on the steady clock of one machine;
-// the rates may differ by a sixteenth.
+// The register: the highest version wins, and each version has exactly one value (register.cpp). There is no
+// log and no leader; any core may write or read. Clocks: every time span is measured on the steady clock of
+// one machine; the rates of two clocks may differ by one sixteenth.
 #pragma once
 
 #include <cstdint>
@@ -24,11 +24,12 @@
 
 namespace petrelpond::consensus {
 
-using NodeId = std::string;  // the ip of a machine; a machine always comes back at its ip
+using NodeId = std::string;  // the IP address of a machine, which it keeps across restarts
 
-// The ballot of a text that is known to be chosen: none is above it.
+// The ballot of a value that is known to be chosen; no ballot is higher.
 constexpr uint64_t kChosenBallot = ~0ULL;
 
+// One version of the register.
 struct Value {
     int64_t version = 0;  // 0: none
     uint64_t digest = 0;
@@ -39,65 +40,65 @@
     }
 };
 
-// How far a disk has come: its birth, and how often it was saved.
+// Identifies a disk and how often its state has been saved.
 struct DiskRevision {
     uint64_t diskId = 0;
     uint64_t saveCount = 0;
 };
 
-// What one disk holds; loaded at start, each part saved whole.
+// The state kept on one disk. Loaded at start; each save replaces it as a whole.
 struct DurableState {
     Value value;
-    Claims claims;                      // the ballots promised
-    std::vector<NodeId> voters;         // sorted; empty: not agreed yet
-    std::vector<NodeId> electors;       // sorted; who agrees on the voters: the seeds of the first start
-    uint64_t votersBallot = 0;          // the highest ballot promised
+    Claims claims;                 // promised ballots by version of the register
+    std::vector<NodeId> voters;    // sorted; empty: not agreed yet
+    std::vector<NodeId> electors;  // sorted; the seeds of the first start, which agree on the first voters
+    uint64_t votersBallot = 0;     // the highest ballot promised for the next voters
     uint64_t votersAcceptedBallot = 0;  // the ballot under which votersAcceptedOffer was accepted; 0: none
-    std::vector<NodeId> votersAcceptedOffer;  // what was accepted
-    uint64_t epoch = 0;  // of the voters: 1 for the first, one more with each change; 0: no voters
-    std::vector<NodeId> formerVoters;  // sorted; the voters of the epoch before, from which it is taken over
-    std::vector<std::string> joinedDisks;  // who came with this epoch, as ip#birth of the disk that was meant
-    uint64_t diskId = 0;                   // drawn when this disk was first used: another one is another disk
-    // The voters have changed and are not taken over yet, by a whole disk: 2 took part in the epoch before, 1
-    // not.
+    std::vector<NodeId> votersAcceptedOffer;  // the accepted set of voters
+    uint64_t epoch = 0;  // of the voters: 1 for the first set, +1 with each change; 0: no voters
+    std::vector<NodeId> formerVoters;      // sorted; the voters of the previous epoch
+    std::vector<std::string> joinedDisks;  // disks added by this epoch, as ip#diskId
+    uint64_t diskId = 0;                   // random, drawn when the disk is first used
+    // Set while a member with an intact disk has not yet taken over the state of the former voters.
+    // 2: it was a voter of the previous epoch; 1: it was not; 0: no takeover pending.
     uint8_t takeoverState = 0;
-    uint64_t term = 0;        // the highest term of the duty heard of
-    NodeId votedFor;          // who got this disk's vote in that term
-    NodeId leasePromisedTo;   // whose lease it has voted for or answered last; empty: not known
-    bool recovering = false;  // the disk was lost: takes no part as a voter
-    bool mayElect = true;     // may take part in the agreement on the voters
-    uint64_t saveCount = 0;   // how often this disk was saved, this time included
-    std::map<NodeId, DiskRevision> knownDisks;  // the newest that was heard of the others' disks
+    uint64_t term = 0;        // the highest lease term accepted
+    NodeId votedFor;          // the candidate that got this disk's vote in that term
+    NodeId leasePromisedTo;   // the holder last voted for or acknowledged; empty: unknown
+    bool recovering = false;  // not acting as a voter: the disk was lost or a takeover is pending
+    bool mayElect = true;     // may take part in the agreement on the first voters
+    uint64_t saveCount = 0;   // number of saves of this disk, including this one
+    std::map<NodeId, DiskRevision> knownDisks;  // the newest known revisions of the other cores' disks
 };
 
 enum class MessageKind : uint8_t {
-    hello,  // who I am and whom I know; answered by helloBack
+    hello,  // introduces the sender and the nodes that it knows; answered by helloReply
     helloReply,
-    heartbeat,  // of the holder of the duty; answered by beatBack
+    heartbeat,  // of the lease holder; answered by heartbeatReply
     heartbeatReply,
-    release,  // the holder gives the duty up
-    put,      // accept this value under its ballot; answered by held, yes: accepted
-    get,      // what do you hold? answered by held
-    registerReply,
-    fetch,  // send me your value; answered by value
+    release,        // the holder gives the lease up
+    put,            // asks to accept a value under its ballot; answered by registerReply, granted: accepted
+    get,            // asks for the held value; answered by registerReply
+    registerReply,  // with the header of the value that the sender has synced
+    fetch,          // asks for the body of the value; answered by value
     value,
-    committed,       // this version lies on a majority
-    recoverRequest,  // I lost my disk, tell me all; answered by recoverTell
+    committed,       // announces the chosen value that the sender knows
+    recoverRequest,  // of a core that rebuilds its state; answered by recoverReply
     recoverReply,
-    preVoteRequest,  // would you vote for me? answered by voteProbeBack
+    preVoteRequest,  // asks whether the receiver would vote for the sender; answered by preVoteReply
     preVoteReply,
-    voteRequest,  // vote for me; answered by vote
+    voteRequest,  // asks for a vote in the message's term; answered by voteReply
     voteReply,
     prepare,  // agreement on the voters, first phase; answered by promise
     promise,
-    accept,  // second phase; answered by accepted
+    accept,  // agreement on the voters, second phase; answered by accepted
     accepted,
-    claim,       // promise this ballot for this version; answered by claimed
-    claimReply,  // yes: promised; with what was accepted and the highest promise
+    claim,       // asks to promise a ballot for a version of the register; answered by claimReply
+    claimReply,  // granted: promised; with the accepted value's header and the highest promised ballot
     last = claimReply,
 };
 
-// A mark of a value without its body, in the order in which one replaces another on a disk.
+// Identifies a value without its body. Ordered as one value replaces another on a disk.
 struct ValueHeader {
     int64_t version = 0;
     uint64_t ballot = 0;
@@ -107,184 +108,187 @@
 
 struct Message {
     MessageKind kind = MessageKind::hello;
-    uint64_t echoedHeartbeatId =
-        0;  // in beat: the number of the newest beat that the holder knows the receiver to have answered
-    uint64_t requestId = 0;   // of the request, repeated in its answer
-    bool granted = false;     // granted
+    // In heartbeat: the request id of the newest heartbeat of which the holder has the receiver's reply.
+    uint64_t echoedHeartbeatId = 0;
+    uint64_t requestId = 0;   // repeated in the reply
+    bool granted = false;     // in replies; in hello: the sender knows neither electors nor voters
     bool recovering = false;  // of the sender
     bool mayVote = false;     // of the sender
-    bool leaving = false;     // the sender ends in order: its place may be given away at once
-    bool diskBroken = false;  // the sender's disk takes no writes at present
+    bool leaving = false;     // the sender is shutting down: it may be replaced at once
+    bool diskBroken = false;  // the last save of the sender failed
     ValueHeader syncedValue;  // what the sender has synced
-    ValueHeader chosenValue;  // what the sender knows to lie on a majority
-    uint64_t term = 0;        // of the duty
-    uint64_t ballot =
-        0;  // of the agreement on the voters; of a claim or put, or the promise that stands against it
-    int64_t version = 0;  // that a claim, a put or its answer is about
+    ValueHeader chosenValue;  // the newest value that the sender knows to be chosen
+    uint64_t term = 0;        // of the lease
+    // Of the agreement on the voters, or of a claim or put; in their replies the highest promised ballot.
+    uint64_t ballot = 0;
+    int64_t version = 0;  // that a claim, a put or its reply is about
     uint64_t acceptedBallot = 0;
-    uint64_t epoch = 0;         // of the sender's voters; 0: it knows none
-    uint8_t takeoverState = 0;  // of the sender, see Durable
-    uint64_t diskId = 0;        // of the sender's disk
-    uint64_t saveCount = 0;     // of the sender's disk, synced
-    uint64_t knownDiskId = 0;  // in helloBack: the birth of the receiver's disk that the sender heard of last
-    uint64_t knownSaveCount =
-        0;  // in helloBack: of the receiver's disk, the most that the sender has heard of
-    std::vector<NodeId> voters;            // empty: not known to the sender, or known to the receiver
-    std::vector<NodeId> formerVoters;      // goes with voters
-    std::vector<std::string> joinedDisks;  // goes with voters
-    std::vector<NodeId> nodes;  // whom the sender knows; in prepare..accepted offers, ip#birth of who comes
+    uint64_t epoch = 0;                // of the sender's voters; 0: it knows none
+    uint8_t takeoverState = 0;         // of the sender, see DurableState
+    uint64_t diskId = 0;               // of the sender's disk
+    uint64_t saveCount = 0;            // of the sender's disk, synced
+    uint64_t knownDiskId = 0;          // in helloReply: the receiver's disk as last heard of by the sender
+    uint64_t knownSaveCount = 0;       // in helloReply: the highest save count known of the receiver's disk
+    std::vector<NodeId> voters;        // empty: not known to the sender, or not part of this message
+    std::vector<NodeId> formerVoters;  // sent with voters
+    std::vector<std::string> joinedDisks;  // sent with voters
+    std::vector<NodeId> nodes;  // known nodes; in prepare..accepted the offer, with ip#diskId for new voters
     std::vector<NodeId> electors;
-    Claims::Ballots claims;  // in recoverTell
+    Claims::Ballots claims;  // in recoverReply
     std::shared_ptr<const Value> value;
 };
 std::string encode(const Message&);
-// Nothing for what is no message: cut short, too long, of wrong types.
+// Returns nullopt for malformed input: truncated, too long or of wrong types.
 std::optional<Message> decode(std::string_view);
 
 struct SendRequest {
     NodeId to;
     Message message;
 };
-struct SaveRequest {  // must be synced to disk before saved(token); a later Save holds all of an earlier one
+// To be synced to disk before Core::handleSaved(token) is called. A later request includes every earlier one.
+struct SaveRequest {
     uint64_t token = 0;
     DurableState state;
 };
-struct OperationResult {  // of write(), read() and change()
+// The outcome of write(), read() or changeVoters().
+struct OperationResult {
     uint64_t ticket = 0;
-    // refused: of a change alone, never carried out. conflict: of a write alone, its version has another
-    // text.
+    // refused: for changeVoters() only, which then had no effect. conflict: for write() only, the version
+    // already has another value.
     enum Outcome { done, noMajority, refused, conflict } outcome = noMajority;
-    std::shared_ptr<const Value> value;  // the newest known to lie on a majority; null: none
+    std::shared_ptr<const Value> value;  // the newest chosen value that this operation found; null: none
     std::string reason = {};             // if refused
 };
-struct ValueChosen {  // a newer value is known to lie on a majority: bring it to everybody
+// A newer value is known to be chosen and should be distributed.
+struct ValueChosen {
     std::shared_ptr<const Value> value;
 };
-struct Lease {          // whenever who holds the duty, as known here, changes
-    bool held = false;  // it is me; only good before validUntil, ask Core::duty() for its newest instant
-    uint64_t term = 0;  // the fence number
-    NodeId holder;      // empty: nobody known
+// The lease as known to this core; emitted whenever the holder or the term changes.
+struct Lease {
+    bool held = false;  // by this core, until validUntil; Core::lease() returns the renewed expiry
+    uint64_t term = 0;  // the fencing token
+    NodeId holder;      // empty: unknown
     Instant validUntil = Instant::longAgo();
 };
 using Output = std::variant<SendRequest, SaveRequest, OperationResult, ValueChosen, Lease>;
 
-// Defects for the tests alone: the search has to find each of them.
+// Defects that tests inject; the schedule searches must detect each of them.
 enum class Defect : uint8_t {
     none,
-    skipsRecovery,
-    ackBeforeSync,
-    noWriteBack,
-    forgetsPromises,
-    skipsTakeover,       // takes part on changed voters without having taken over what the former ones knew
-    emptyDiskTakesOver,  // an empty disk takes over from the former voters as if it had never been one of the
-                         // new ones
-    stalePromise,        // the disk keeps the first promise for the last
-    countsOtherEpochs,   // counts answers of members that are on other voters already
-    votesRightAfterRestart,  // term and vote are kept, but not that a promise may still run
-    holdsExpiredLease,       // goes on as holder once its lease is over
-    reusesTerm,              // stands again under the term that it knows
-    neverReplaces,           // leaves the place of a member that is gone empty
-    ignoresClaims,  // accepts a text below the ballot that it promised: the digest decides, as it once did
-    ignoresAcceptedValue,   // puts its own text although another one was accepted for the version
-    leaseFromReply,         // the lease runs from when an answer came, not from when it was asked for
-    contactFromReceipt,     // contact runs from when a heartbeat came, not from the answer that it tells of
-    refusesRepeatedWrites,  // an order that is sent again once its version is decided is refused
-    countsEveryHeartbeatAsContact,  // takes every heartbeat for contact, whoever has heard its answers
-    trustsRolledBackDisk,           // takes part with a disk that was put back to an earlier state
-    leavesWithoutHandover,          // ends in order without waiting for who takes its place
-    dropsSilentVoters,    // drops a voter that is silent for two heartbeats, though nobody takes the place
-    overlapsChanges,      // begins a change before the one before it is taken over
-    trustsStaleStandby,   // gives a place to a standby that has not answered since the place fell free
-    neverResendsBallots,  // sends no message of a ballot on the voters again
-    recoverReplyWaitsForDisk,  // tells a lost disk nothing while its own disk takes no writes
-    retriesWithoutPause,     // looks again at once whenever its claim is overtaken, also by what its own disk
-                             // knows
-    refusesClaimsWhenFull,   // promises no ballot for a version beyond those that it can list
-    sendsEmptyRecoverReply,  // tells a lost disk nothing that it has promised, while it still saves
+    skipsRecovery,           // takes part with an empty disk without recovering first
+    ackBeforeSync,           // replies before the promise is synced
+    noWriteBack,             // a read returns a value that is not known to be chosen
+    forgetsPromises,         // a restart forgets term, vote and the voters' ballots
+    skipsTakeover,           // acts under new voters without taking over the state of the former ones
+    emptyDiskTakesOver,      // a lost disk takes over from the former voters as if it had never been a voter
+    stalePromise,            // the disk keeps the first lease promise instead of the last
+    countsOtherEpochs,       // counts replies of members that are in another epoch
+    votesRightAfterRestart,  // keeps term and vote, but not that a lease promise may still be in force
+    holdsExpiredLease,       // remains holder after its lease has expired
+    reusesTerm,              // stands for election again under a term that it already knows
+    neverReplaces,           // never replaces an absent voter
+    ignoresClaims,           // accepts a value below the ballot that it has promised
+    ignoresAcceptedValue,    // puts its own value although another one was accepted for the version
+    leaseFromReply,      // the lease runs from the receipt of a reply, not from the sending of the heartbeat
+    contactFromReceipt,  // contact runs from the receipt of a heartbeat, not from the reply that it echoes
+    refusesRepeatedWrites,          // refuses a write that is sent again once its version is decided
+    countsEveryHeartbeatAsContact,  // even if the holder has not received this core's replies
+    trustsRolledBackDisk,           // takes part with a disk that was restored to an earlier state
+    leavesWithoutHandover,          // shuts down without waiting for a successor
+    dropsSilentVoters,              // drops a voter after two silent heartbeats, even without a standby
+    overlapsChanges,                // begins a change before the previous one has been taken over
+    trustsStaleStandby,             // promotes a standby that has not answered since the vacancy arose
+    neverResendsBallots,            // never resends messages of a ballot on the voters
+    recoverReplyWaitsForDisk,       // does not answer a recoverRequest while its own disk takes no writes
+    retriesWithoutPause,     // reads again at once whenever its claim is overtaken, even by its own disk
+    refusesClaimsWhenFull,   // promises no ballot for a version beyond the listed ones
+    sendsEmptyRecoverReply,  // omits its promises from a recoverReply while a save is pending
 };
 
 struct Options {
     NodeId self;
     std::vector<NodeId> seeds;
-    bool bootstrap = false;  // the very first start of the whole, on empty disks
-    bool mayVote = true;     // may be put among the voters
+    bool bootstrap = false;  // the very first start of the system, with empty disks
+    bool mayVote = true;     // may become a voter
     int machineLosses = 1;   // disks that may be lost at the same time
     Span heartbeatInterval = Span::millis(250);
     Span leaseDuration = Span::millis(1200);
     Span operationTimeout = Span::millis(900);  // of write() and read()
-    // Silence after which a member's place is given to a standby. Harm if too short: a member that was only
-    // paused becomes the standby, at the cost of one change; if too long: a second loss meets one copy fewer.
+    // Silence after which a voter is replaced by a standby. Too short: a voter that was only paused becomes a
+    // standby, at the cost of one change of the voters. Too long: a second loss finds one copy fewer.
     Span absenceTimeout = Span::millis(2000);
-    // How long what was confirmed last may pass for current; see Core::inContact.
+    // How long the last confirmed contact counts as current; see Core::isInContact.
     Span contactTimeout = Span::millis(1500);
-    uint32_t randomSeed = 1;  // must differ between the lives of a process
+    uint32_t randomSeed = 1;  // must differ between runs of a process
     Defect defect = Defect::none;
 };
 
-// What this core knows of one member or standby, for operators.
+// What this core knows of one voter or standby, for operators.
 struct MemberState {
     NodeId node;
-    bool isVoter = false;     // is among the voters
-    bool catchingUp = false;  // a voter that has not taken part yet since its disk or the voters changed
-    bool standby = false;     // would take a place that falls free
-    bool leaving = false;     // was told to end
-    bool suspected = false;   // a voter whose place goes to a standby as soon as there is one
-    Span silent;              // since it was heard last; 0: this core itself
+    bool isVoter = false;
+    bool catchingUp = false;  // a voter that has not recovered yet after a disk loss or a change
+    bool standby = false;     // could be promoted to a voter
+    bool leaving = false;     // is shutting down
+    bool suspected = false;   // an absent voter, to be replaced as soon as there is a standby
+    Span silent;              // time since its last message; 0 for this core
 };
 
+// One core's part of the protocol, as a deterministic state machine. Inputs are receive(), tick() and the
+// other calls with `now`; after each of them the caller pulls nextOutput() until it is empty and then calls
+// tick() no later than nextWakeup().
 class Core {
   public:
     Core(Instant now, Options, std::optional<DurableState> found);  // nullopt: the disk was empty or damaged
     void receive(Instant now, const NodeId& from, const Message&);
-    void handleLinkLoss(Instant now, const NodeId& peer);  // the link to it broke: a hint only
+    void handleLinkLoss(Instant now, const NodeId& peer);  // only a hint: resends sooner
     void handleSaved(Instant now, uint64_t token);
-    // The disk is full or broken: it counts no more until a later Save (with growing pauses) succeeds.
+    // The disk is full or broken: this core does not act as a voter until a later save succeeds. Saves are
+    // retried with growing pauses.
     void handleSaveFailure(Instant now, uint64_t token);
-    // Done once a majority of the voters have synced it or something newer. noMajority after
-    // Options::operationTimeout, though it may still take hold.
+    // Done once a majority of the voters has synced the value or a newer one; conflict if the version has
+    // another value. noMajority after Options::operationTimeout, though the value may still be chosen later.
     void write(Instant now, uint64_t ticket, std::shared_ptr<const Value>);
-    // Writes back where the members differ, so that what was once read can't go back.
+    // Writes the value back where the voters differ, so that later reads never return an older one.
     void read(Instant now, uint64_t ticket);
-    // Other voters: `gone` leave it, `come` join. Done once the new voters have answered a read. Refused,
-    // with why, where it can't be or another change was decided first. noMajority after 4 x operationTimeout:
-    // it may take hold all the same.
+    // Changes the voters. Done once the new voters have answered a read. Refused, with a reason, if the
+    // change is invalid or another one was decided first. noMajority after 4 * operationTimeout, though the
+    // change may still take effect later.
     void changeVoters(Instant now, uint64_t ticket, std::vector<NodeId> removed, std::vector<NodeId> added);
-    // Leaving in order: gives the duty up at once, stands no more, and says that its place is free. It goes
-    // on counting until mayLeave().
+    // Begins an orderly shutdown: hands the lease over, stands for no election and announces that this
+    // voter is to be replaced. It keeps acting as a voter until mayLeave().
     void beginLeave(Instant now);
-    // Whether nothing would be lost or left without a majority by ending now: the place among the voters has
-    // been taken over by a standby, or there is none, and who is here holds what we know to be acknowledged.
+    // Whether the process may end without losing state or the majority: either a standby has replaced this
+    // voter, or there is no standby and every reachable voter holds what this core knew to be chosen.
     bool mayLeave(Instant now) const;
-    // Other cores, as newer settings name them.
+    // Adds cores that newer settings name.
     void addPeers(Instant now, const std::vector<NodeId>& cores);
     void tick(Instant now);
     Instant nextWakeup() const;
     std::optional<Output> nextOutput();
 
-    std::vector<NodeId> peers() const;  // all cores known but this one
-    // Cores that would take a place among the voters: not on it, in touch, with a disk that holds what is
-    // acknowledged or nearly.
+    std::vector<NodeId> peers() const;  // all known cores except this one
+    // Cores that could become voters: reachable, not voters yet, and with a value on a working disk.
     std::vector<NodeId> standbys(Instant now) const;
     const std::vector<NodeId>& voters() const { return state_.voters; }
-    uint64_t epoch() const { return state_.epoch; }  // of the voters; 0: none is known
+    uint64_t epoch() const { return state_.epoch; }  // of the voters; 0: no voters known
     std::shared_ptr<const Value> newestValue()
-        const;  // the newest on our disk or known committed; null: none
+        const;  // the newest on our disk or known to be chosen; null: none
     Lease lease() const { return lease_; }
-    // Whether a majority has been heard of so lately that what we know may pass for current: the holder while
-    // its lease runs, a member while the holder's heartbeats say that they got its answers. Measured from
-    // when we answered, not from when we were told. Outside of it nothing that we hold is the newest for
-    // sure.
+    // Whether the last confirmed contact with a majority is recent enough for our state to count as current:
+    // for the holder while its lease is valid, for another member while heartbeats show that the holder
+    // received its replies. Measured from the sending of the reply, not from the receipt of the heartbeat.
+    // Without contact nothing that we hold is certain to be the newest.
     bool isInContact(Instant now) const;
     std::vector<MemberState> members(Instant now) const;
-    // How many more voters may be lost, as seen from here, before a majority is missing; negative: it is
-    // missing.
+    // How many more voters may be lost, as seen from here, before the majority is lost; negative: it is lost.
     int lossesLeft(Instant now) const;
-    // Whether no majority can be reached from here: so few members have been heard lately.
+    // Whether too few voters have been heard from recently to form a majority.
     bool isCutOff(Instant now) const;
     bool isRecovering() const { return state_.recovering; }
-    // Voters that have said lately, or know of themselves, that their disk was lost and is not rebuilt.
+    // The number of reachable voters, this core included, whose disk was lost and is not rebuilt yet.
     int lostVoterCount(Instant now) const;
-    // Of a rebuild of this disk: how many members have told what they hold.
+    // While this core recovers: the number of members that have replied.
     size_t recoverReplyCount() const { return recoverReplies_.size(); }
     size_t listedClaimCount() const { return state_.claims.listed().size(); }
 
@@ -296,38 +300,38 @@
         bool recovering = false;
         bool leaving = false;
         bool diskBroken = false;
-        uint64_t epoch = 0;          // of its voters, as it said last
+        uint64_t epoch = 0;          // of its voters, as last reported
         uint64_t saveCount = 0;      // of its disk
         uint64_t diskId = 0;         // of its disk
-        bool knowsNoVoters = false;  // knows neither electors nor voters
+        bool knowsNoVoters = false;  // it knows neither electors nor voters
         ValueHeader syncedValue;
-        bool saidHello = false;      // it has said hello itself
+        bool saidHello = false;      // it has sent a hello or helloReply
         uint64_t answeredProbe = 0;  // the last vacancyProbe_ that it answered
     };
     struct Operation {
         uint64_t ticket = 0;
-        bool hasCaller = false;  // somebody waits for the Answer
+        bool hasCaller = false;  // a caller waits for the OperationResult
         enum class Step : uint8_t { reading, claiming, putting } step = Step::reading;
         Instant since;
         Instant pausedUntil = Instant::longAgo();
         Instant resendAt = Instant::longAgo();
-        Instant settleAt = Instant::never();  // another writer's text is settled by us then
+        Instant settleAt = Instant::never();  // when this core claims another writer's undecided value
         Span resendPause = Span::millis(200);
-        int outbidCount = 0;                     // times, for a pause that grows
-        bool overtaken = false;                  // once: a member held a higher version, or a chosen text
-        std::shared_ptr<const Value> requested;  // what is to be written; null: a read
-        std::shared_ptr<const Value> proposal;   // what is claimed for or put
-        std::shared_ptr<const Value> fetched;    // fetched from another core
-        uint64_t ballot = 0;                     // of this claim; 0: not drawn yet
-        ValueHeader highest;                     // asking: of all answers
+        int outbidCount = 0;                     // number of restarts, for a growing pause
+        bool overtaken = false;                  // a member has reported a higher version or a chosen value
+        std::shared_ptr<const Value> requested;  // the value to write; null: a read
+        std::shared_ptr<const Value> proposal;   // the value that is claimed for or put
+        std::shared_ptr<const Value> fetched;    // received from another core
+        uint64_t ballot = 0;                     // of this claim; 0: not assigned yet
+        ValueHeader highest;                     // reading: the highest of all replies
         ValueHeader acceptedValue;               // claiming: the highest accepted for the version
-        std::map<NodeId, ValueHeader> headers;   // what each answer held
-        std::set<NodeId> higherPromises;         // whose promise is above what it accepted
-        std::set<NodeId> grants;                 // who promised, or accepted
+        std::map<NodeId, ValueHeader> headers;   // by replying voter
+        std::set<NodeId> higherPromises;         // voters that promised a ballot above their accepted one
+        std::set<NodeId> grants;                 // voters that promised or accepted
     };
-    struct VotersChange {                   // asked for by an operator here, or a replacement that we began
-        uint64_t ticket = 0, epoch = 0;     // ticket 0: nobody waits; epoch: of the voters that it changes
-        std::vector<NodeId> offer, voters;  // as offered, with ip#birth of who comes; plain
+    struct VotersChange {                   // requested by an operator, or a replacement begun by this core
+        uint64_t ticket = 0, epoch = 0;     // ticket 0: no caller; epoch: of the voters to change
+        std::vector<NodeId> offer, voters;  // the offer has ip#diskId for new voters
         Instant since;
     };
     enum class Candidacy : uint8_t { none, preVoting, voting };
@@ -335,7 +339,7 @@
     void beginInput(Instant now);
     void endInput(Instant now);
     void send(const NodeId& to, Message m);
-    void sendAfterSync(const NodeId& to, Message m);  // once all that has been promised by now lies on disk
+    void sendAfterSync(const NodeId& to, Message m);  // after all promises so far are synced
     void sendAfterSave(uint64_t token, const NodeId& to, Message m);
     void flushWaitingSends();
     void dispatch(Instant now, const NodeId& from, const Message& m);
@@ -346,8 +350,7 @@
     Message makeMessage(MessageKind kind, uint64_t requestId = 0) const;
     void markDirty() { dirty_ = true; }
     void notePeerHeard(Instant now, const NodeId& node);
-    void sendHello(const NodeId& to, MessageKind kind,
-                   uint64_t requestId = 0);  // number: told back with the answer
+    void sendHello(const NodeId& to, MessageKind kind, uint64_t requestId = 0);
     void handleHello(Instant now, const NodeId& from, const Message& m);
     void learnVoters(Instant now, uint64_t epoch, std::vector<NodeId> voters,
                      std::vector<NodeId> formerVoters, std::vector<std::string> joinedDisks);
@@ -378,12 +381,12 @@
     void learnChosen(const std::shared_ptr<const Value>& v);
     bool selfIsVoter() const { return isVoter(options_.self); }
     bool isVoter(const NodeId& n) const;
-    bool isMember() const;  // counts as a disk of the voters now
+    bool isMember() const;  // a voter with intact, writable and verified state
     void checkForRollback(Instant now, const NodeId& from, const Message& m);
     void treatDiskAsLost(Instant now);
     bool isElector() const;
     bool inElectors(const NodeId& n) const;
-    // Who agrees on the next voters: the electors on the first, then the members of each on the one after it.
+    // Who agrees on the next voters: the electors on the first set, the current voters on each later one.
     const std::vector<NodeId>& acceptors() const {
         return state_.epoch == 0 ? state_.electors : state_.voters;
     }
@@ -415,8 +418,8 @@
     bool shouldAnnounce(Instant now, const NodeId& node, const Peer&) const;
     bool isSyncedStateEquivalent() const;
     Message makeRecoverReply(const DurableState& state, const std::shared_ptr<const Value>& value,
-                             const Message& ask) const;
-    void handleRecoverRequest(const NodeId& from, const Message& ask);
+                             const Message& request) const;
+    void handleRecoverRequest(const NodeId& from, const Message& request);
     void finishRecovery(Instant now);
     void announceRecovery();
     void beginBallot(Instant now);
@@ -441,26 +444,25 @@
     Span promiseDuration() const { return options_.leaseDuration + options_.leaseDuration * 0.0625; }
 
     Options options_;
-    std::set<NodeId> diskConfirmedBy_;     // members that have not seen our disk further than it is
-    bool rollbackChecked_ = false;         // by enough of them; see disk_age.cpp
-    DurableState state_;                   // all promised so far, without the value's body
-    std::shared_ptr<const Value> value_;   // the newest value to be on our disk
-    std::shared_ptr<const Value> chosen_;  // the newest value known to lie on a majority
+    std::set<NodeId> diskConfirmedBy_;     // voters that know no newer revision of our disk
+    bool rollbackChecked_ = false;         // enough voters have confirmed; see checkForRollback
+    DurableState state_;                   // including unsynced promises, without the value's body
+    std::shared_ptr<const Value> value_;   // the newest accepted value, synced or pending
+    std::shared_ptr<const Value> chosen_;  // the newest value known to be chosen
     ValueHeader chosenHeader_;             // its ballot is kChosenBallot
-    uint64_t highestClaimRound_ = 0;       // the highest round of a claim heard of
+    uint64_t highestClaimRound_ = 0;       // the highest round known of any claim
     std::map<int64_t, std::pair<NodeId, uint64_t>>
-        claimRequests_;                               // by version: whose claim was promised, its number
-    Instant contactAt_ = Instant::longAgo();          // of our newest answer that a holder is known to have
-    std::map<uint64_t, Instant> answeredHeartbeats_;  // by number: when
+        claimRequests_;                       // by version: proposer and request id of the promised claim
+    Instant contactAt_ = Instant::longAgo();  // when we sent the newest reply that a holder has received
+    std::map<uint64_t, Instant> answeredHeartbeats_;  // reply time by request id
     std::map<NodeId, uint64_t>
-        newestHeartbeatReplies_;  // of the holder: each member's newest answer, by number
-    ValueHeader chosenAtLeave_;   // what was known to lie on a majority as this core began to leave
+        newestHeartbeatReplies_;  // on the holder: the newest heartbeat answered by each node
+    ValueHeader chosenAtLeave_;   // chosenHeader_ at beginLeave()
     std::mt19937 random_;
-    uint64_t firstRequestId_ =
-        0;  // numbers of requests start here, so that answers to an earlier life match none
+    uint64_t firstRequestId_ = 0;  // random per run, so that replies to an earlier run match no request
     uint64_t lastRequestId_ = 0;
     Instant startedAt_;
-    Instant inputAt_;  // the last input
+    Instant inputAt_;  // time of the current input
     std::deque<Output> outputs_;
     std::map<NodeId, Peer> peers_;
 
@@ -468,35 +470,35 @@
     bool diskBroken_ = false;
     Instant retrySaveAt_ = Instant::never();
     Span savePause_ = Span::millis(500);
-    uint64_t lastSaveToken_ = 0;  // of the newest Save
-    uint64_t syncedToken_ = 0;    // of the newest synced
+    uint64_t lastSaveToken_ = 0;  // of the newest SaveRequest
+    uint64_t syncedToken_ = 0;    // of the newest synced one
     struct PendingSave {
         uint64_t token = 0;
         DurableState state;  // without the value
         std::shared_ptr<const Value> value;
     };
     std::deque<PendingSave> pendingSaves_;
-    PendingSave synced_;  // what surely lies on this disk: its newest Save that is done
-    std::deque<std::pair<uint64_t, SendRequest>> waitingSends_;  // to be sent once that token is synced
-    uint64_t termSaveToken_ = 0;                                 // of the Save that brings our term to disk
-    std::deque<Message> loopback_;                               // from us to us
+    PendingSave synced_;                                         // the newest synced state
+    std::deque<std::pair<uint64_t, SendRequest>> waitingSends_;  // to be sent once the token is synced
+    uint64_t termSaveToken_ = 0;    // of the save that contains our term and lease promise
+    std::deque<Message> loopback_;  // messages of this core to itself
 
     std::map<uint64_t, Operation> operations_;
-    Instant lastFetchAt_ = Instant::longAgo();  // the last fetch
-    Instant settleReadAt_ = Instant::never();   // somebody holds more than is known to be sure: look then
+    Instant lastFetchAt_ = Instant::longAgo();  // of the last fetch message
+    Instant settleReadAt_ = Instant::never();   // when to read, as a newer value than the chosen one is known
     Instant helloAt_;
     uint32_t hellos_ = 0;
 
     uint64_t recoverRequestId_ = 0;
     Instant recoverAt_ = Instant::never();
     bool recoversFromVoters_ = false;
-    Instant restartBootstrapAt_ = Instant::never();  // when to begin anew, all seeds being empty
+    Instant restartBootstrapAt_ = Instant::never();  // when to restart the bootstrap, with all seeds empty
     std::map<NodeId, Message> recoverReplies_;
 
-    uint64_t vacancyProbe_ = 0;  // standbys that answer this are there; 0: no place is free
+    uint64_t vacancyProbe_ = 0;  // request id that proves a standby alive; 0: no vacancy
     std::optional<VotersChange> pendingChange_;
     Instant proposeAt_ = Instant::never();
-    uint64_t ballot_ = 0;  // the ballot being run; 0: none
+    uint64_t ballot_ = 0;  // our current ballot on the voters; 0: none
     bool accepting_ = false;
     Instant ballotStartedAt_, ballotSentAt_;
     std::vector<NodeId> offer_;
@@ -512,13 +514,14 @@
     uint64_t candidateTerm_ = 0;
     std::set<NodeId> votes_;
     bool leaving_ = false;
-    NodeId leasePromisedTo_;  // no vote for another before leasePromisedUntil_
+    NodeId leasePromisedTo_;  // no vote for another node before leasePromisedUntil_
     uint64_t leasePromiseTerm_ = 0;
     Instant leasePromisedUntil_;
     Instant heartbeatAt_ = Instant::never();
-    std::map<uint64_t, Instant> sentHeartbeats_;  // number of a beat: when sent
-    std::map<NodeId, Instant> ackedHeartbeatAt_;  // when the newest beat it answered was sent
-    uint64_t highestTerm_ = 0;                    // heard anywhere
+    std::map<uint64_t, Instant> sentHeartbeats_;  // sending time by request id
+    std::map<NodeId, Instant>
+        ackedHeartbeatAt_;      // sending time of the newest heartbeat that each node answered
+    uint64_t highestTerm_ = 0;  // seen in any message
 };
 
 }  // namespace petrelpond::consensus
--- a/system/consensus/core_search_test.cpp
+++ b/system/consensus/core_search_test.cpp
@@ -1,6 +1,6 @@
-// Searches seeded schedules of the simulated world for a broken invariant: an acknowledged version is lost, a
-// read goes back, two voterSets, two holders at one instant, a term won twice, or no work once all has
-// healed.
+// Searches seeded schedules of the simulated cluster for a broken invariant: an acknowledged version lost, a
+// read that returns an older version, two sets of voters in one epoch, two holders at one instant, a term won
+// twice, or no progress after all faults have healed.
 #include <gtest/gtest.h>
 
 #include <cstdio>
@@ -19,7 +19,7 @@
     return {seed, cores, losses, defect, true, 25};
 }
 
-// CONSENSUS_SCHEDULES=10000 for a long search, CONSENSUS_FIRST to begin elsewhere.
+// CONSENSUS_SCHEDULES sets the number of schedules (10000 for a long search), CONSENSUS_FIRST the first seed.
 TEST(CoreSearch, NoScheduleBreaksAnInvariant) {
     const uint32_t begin = numberFromEnvironment("CONSENSUS_FIRST", 1),
                    count = numberFromEnvironment("CONSENSUS_SCHEDULES", 300);
@@ -33,7 +33,7 @@
         disksLost += world.disksLost();
         conflicts += world.conflicts();
     }
-    // The search is worth nothing if nothing happens in it.
+    // The search is meaningful only if enough happens in it.
     EXPECT_GT(writes, static_cast<int>(count) * 50);
     EXPECT_GT(reads, static_cast<int>(count) * 50);
     EXPECT_GT(terms, static_cast<int>(count) * 3);
@@ -43,7 +43,8 @@
               << " reads, " << disksLost << " lost disks\n";
 }
 
-// Whom a promise binds to after a restart only shows where the holder lives on unheard.
+// Whether a restarted core remembers to whom it promised the lease matters only while an isolated holder is
+// still alive.
 TEST(CoreSearch, NoScheduleWithAnIsolatedHolderBreaksAnInvariant) {
     const uint32_t begin = numberFromEnvironment("CONSENSUS_FIRST", 1),
                    count = numberFromEnvironment("CONSENSUS_SCHEDULES", 100);
@@ -136,7 +137,7 @@
 }
 TEST(CoreSearch, CatchesAReusedTerm) { EXPECT_GT(schedulesUntilDetected(Defect::reusesTerm, 100), 0); }
 
-// How many schedules of `first`.. a defect breaks: CONSENSUS_DEFECT=4 CONSENSUS_SCHEDULES=300.
+// Measures how many schedules one defect breaks, e.g. with CONSENSUS_DEFECT=4 CONSENSUS_SCHEDULES=300.
 TEST(CoreSearch, CountsSchedulesBrokenByOneDefect) {
     const char* wanted = std::getenv("CONSENSUS_DEFECT");
     if (!wanted) GTEST_SKIP() << "for measuring: CONSENSUS_DEFECT, CONSENSUS_SCHEDULES";
@@ -152,8 +153,8 @@
     std::printf("defect %s: first at %d, %d of %d\n", wanted, first, broken, all);
 }
 
-// Two of three seeds lose their disks before the voters are decided: nobody begins anew by themselves, and
-// whatever was promised stays. Where that did not come to pass all must work as ever.
+// Two of three seeds lose their disks before the voters are decided: no core restarts the bootstrap, and no
+// promise is forgotten. In schedules where this does not happen everything must work as usual.
 TEST(CoreSearch, LosingSeedDisksBeforeVotersAreAgreedForgetsNothing) {
     int startBlocked = 0;
     for (uint32_t seed = 1; seed <= 120; ++seed) {
--- a/system/consensus/core_test.cpp
+++ b/system/consensus/core_test.cpp
@@ -1,4 +1,5 @@
-// What a schedule found by chance may miss: each of these fails without the defence that it names.
+// Scripted tests of Core for cases that random schedules may miss. Each fails without the safeguard that it
+// names.
 #include "system/consensus/core.hpp"
 
 #include <gtest/gtest.h>
@@ -61,7 +62,7 @@
     return m;
 }
 
-// Another member has not seen our disk further than it is: from then on this core counts.
+// Another voter knows no newer revision of our disk; from then on this core acts as a voter.
 void passRollbackCheck(Core& core) {
     core.receive(ms(0), b, plain(MessageKind::helloReply));
     while (core.nextOutput()) {
@@ -93,7 +94,7 @@
     for (int i = 0; i < 20000; ++i) {
         std::string bad = bytes;
         for (int k = 0; k < 3; ++k) bad[random() % bad.size()] = static_cast<char>(random());
-        decode(bad);  // whatever it says, it neither dies nor asks for much memory
+        decode(bad);  // must neither crash nor allocate much memory
     }
     EXPECT_FALSE(decode("\xdd\xff\xff\xff\xff"));
 }
@@ -132,7 +133,7 @@
         core.tick(ms(at));
         again = drainOutputs<SaveRequest>(core);
     }
-    EXPECT_GT(at, 400);  // a pause, and then
+    EXPECT_GT(at, 400);  // only after a pause
     ASSERT_EQ(again.size(), 1u);
     core.handleSaved(ms(at), again[0].token);
     core.receive(ms(at + 1), b, plain(MessageKind::get));
@@ -157,7 +158,7 @@
     for (const MessageKind k :
          {MessageKind::registerReply, MessageKind::voteReply, MessageKind::recoverReply})
         EXPECT_EQ(count(sends, k), 0);
-    // Not before all has ended that its answers of earlier may count in.
+    // Not before all operations have ended in which its earlier replies may count.
     core.tick(ms(1400));
     for (SaveRequest& s : drainOutputs<SaveRequest>(core)) core.handleSaved(ms(1401), s.token);
     core.tick(ms(1490));
@@ -173,9 +174,9 @@
     tell.voters = {a, b, c};
     tell.value = std::make_shared<const Value>(Value{8, 1, "newer"});
     core.receive(ms(1601), b, tell);
-    core.receive(ms(1602), b, tell);  // the same again is not a second one
+    core.receive(ms(1602), b, tell);  // a repeated reply counts once
     tell.recovering = true;
-    core.receive(ms(1603), c, tell);  // and who recovers itself is none
+    core.receive(ms(1603), c, tell);  // a core that is recovering itself does not count
     EXPECT_TRUE(core.isRecovering());
     for (SaveRequest& s : drainOutputs<SaveRequest>(core)) core.handleSaved(ms(1604), s.token);
     tell.recovering = false;
@@ -188,7 +189,8 @@
     EXPECT_FALSE(saves[0].state.recovering);
 }
 
-// A member that is on other voters already may have told the new one all that it knew before it was asked.
+// A member of a later epoch may have sent its state to the new voters before it answered this read, so its
+// reply must not count.
 TEST(Core, IgnoresRepliesFromAnotherVotersEpoch) {
     for (const Defect defect : {Defect::none, Defect::countsOtherEpochs}) {
         Options o = options(a);
@@ -207,12 +209,12 @@
         held.requestId = requestId, held.syncedValue = {8, 0, 1}, held.epoch = 2;
         core.receive(ms(3), b, held);
         const bool done = !drainOutputs<OperationResult>(core).empty();
-        EXPECT_EQ(done, defect == Defect::countsOtherEpochs);  // the defect shows that this test can fail
+        EXPECT_EQ(done, defect == Defect::countsOtherEpochs);  // shows that this test can fail
     }
 }
 
-// Once it knows of other voters a member answers nothing under the former one, and nothing under the new one
-// until a majority of the former has told it what it knows.
+// Once it knows of new voters, a member answers nothing under the former ones, and nothing under the new ones
+// until a majority of the former voters has sent it their state.
 TEST(Core, AfterAVotersChangeRecoversStateBeforeAnswering) {
     Core core(ms(0), options(a), durable(7));
     drainOutputs<SendRequest>(core);
@@ -220,7 +222,7 @@
     hello.epoch = 2, hello.voters = {a, b, "10.0.0.4"}, hello.formerVoters = {a, b, c},
     hello.joinedDisks = {"10.0.0.4#9"};
     core.receive(ms(10), b, hello);
-    core.receive(ms(11), c, put(9));  // of the former voters
+    core.receive(ms(11), c, put(9));  // under the former voters
     Message get = plain(MessageKind::get);
     get.epoch = 2;
     core.receive(ms(12), b, get);
@@ -234,7 +236,7 @@
         if (s.message.kind == MessageKind::recoverRequest) tell.requestId = s.message.requestId;
     tell.epoch = 2, tell.recovering = true, tell.granted = true, tell.takeoverState = 2, tell.term = 5;
     tell.value = std::make_shared<const Value>(Value{8, 1, "body"}), tell.syncedValue = {8, 0, 1};
-    core.receive(ms(20), c, tell);  // c left the voters, and is needed all the same
+    core.receive(ms(20), c, tell);  // c is no longer a voter but is still needed
     for (SaveRequest& s : drainOutputs<SaveRequest>(core)) core.handleSaved(ms(21), s.token);
     core.receive(ms(22), b, get);
     sends = drainOutputs<SendRequest>(core);
@@ -244,8 +246,8 @@
             EXPECT_EQ(s.message.syncedValue, (ValueHeader{8, 0, 1}));
         }
     }
-    Message ask =
-        plain(MessageKind::voteRequest, 9);  // the former voters's holder may still hold for a leaseDuration
+    Message ask = plain(MessageKind::voteRequest,
+                        9);  // the holder under the former voters may be valid for another leaseDuration
     ask.epoch = 2;
     core.receive(ms(30), b, ask);
     for (SaveRequest& s : drainOutputs<SaveRequest>(core)) core.handleSaved(ms(31), s.token);
@@ -265,14 +267,13 @@
         return answers.size() == 1 && answers[0].outcome == OperationResult::refused ? answers[0].reason
                                                                                      : std::string();
     };
-    EXPECT_EQ(why({c}, {"10.0.0.9"}), "10.0.0.9 is not heard of as a core whose disk may count");
+    EXPECT_EQ(why({c}, {"10.0.0.9"}), "10.0.0.9 is not a known core that may become a voter");
     EXPECT_EQ(why({"10.0.0.8"}, {"10.0.0.9"}), "10.0.0.8 is not among the voters");
-    EXPECT_EQ(why({c}, {}), "2 voters do not bear the loss of 1");
+    EXPECT_EQ(why({c}, {}), "2 voters do not tolerate the loss of 1");
     EXPECT_EQ(core.voters(), (std::vector<NodeId>{a, b, c}));
 }
 
-// From the command to the new voters at work, with the machine that leaves dead, and a write on the new
-// voters after it.
+// Replaces a dead voter by command; the new voters then work without another of the former ones.
 TEST(Core, ReplacesADeadVoterOnRequest) {
     sim::World w({5, 3, 1, Defect::none, false, 20, true, 1});
     w.at(sim::World::millis(5900), [&] { w.kill(2); });
@@ -287,7 +288,7 @@
         EXPECT_EQ(w.nodes_[0].core->voters(),
                   (std::vector<NodeId>{w.nodes_[0].id, w.nodes_[1].id, w.nodes_[3].id}));
         EXPECT_FALSE(w.nodes_[3].core->isRecovering());
-        w.kill(1);  // the one that came counts: with it there is a majority
+        w.kill(1);  // the new voter counts: it completes a majority
     });
     w.at(sim::World::millis(17000), [&] { EXPECT_GE(w.holder(), 0); });
     EXPECT_EQ(w.run(), "");
@@ -325,7 +326,8 @@
     ASSERT_TRUE(save);
     core.handleSaved(ms(12), save->token);
     held.syncedValue = {1, 1};
-    core.receive(ms(2000), b, held);  // frozen meanwhile: b may have lost its disk since it answered
+    core.receive(ms(2000), b,
+                 held);  // after a freeze of this core: b may have lost its disk since it answered
     const auto answers = drainOutputs<OperationResult>(core);
     ASSERT_EQ(answers.size(), 1u);
     EXPECT_EQ(answers[0].outcome, OperationResult::noMajority);
@@ -357,7 +359,7 @@
     EXPECT_EQ(w.firstVoters().size(), 3u);
 }
 
-// Fewer cores than three: the seeds are all there are, and nobody waits for more.
+// With fewer than three seeds there are no other cores to wait for.
 TEST(Core, WorksWithOneOrTwoCores) {
     for (const int cores : {1, 2}) {
         sim::World w({7, cores, 1, Defect::none, false, 8});
@@ -367,7 +369,7 @@
     }
 }
 
-// A set of voters on which nobody could recover is not agreed because one core comes a little late.
+// A set of voters too small to recover is not agreed on just because one core starts a little late.
 TEST(Core, FirstVotersWaitForACoreThatStartsLate) {
     sim::World w({8, 5, 2, Defect::none, false, 15});
     w.at(500, [&] { w.kill(4); });
@@ -376,7 +378,7 @@
     EXPECT_EQ(w.firstVoters().size(), 5u);
 }
 
-// CPU is paid for: at rest only the holder talks to all, and the others answer.
+// When idle, only the holder sends to all cores and the others reply, to save CPU.
 TEST(Core, SendsFewMessagesWhenIdle) {
     sim::World w({6, 9, 2, Defect::none, false, 20, false});
     long before = 0;
@@ -385,8 +387,8 @@
     EXPECT_EQ(w.run(), "");
 }
 
-// Two operators write different texts under one number in the same instant, at two cores: one is confirmed,
-// the other is told so, and both stand by that whoever is asked later.
+// Two operators write different values of one version at two cores at the same instant: one is confirmed, the
+// other gets a conflict, and later repetitions at any core give the same results.
 TEST(Core, ChoosesOneOfTwoValuesOfAVersionAndReportsAConflictToTheOther) {
     for (uint32_t seed = 1; seed <= 20; ++seed) {
         sim::World w({seed, 3, 1, Defect::none, false, 20, false});
@@ -398,7 +400,7 @@
         });
         int done = 0, conflicts = 0;
         w.at(sim::World::millis(10000), [&] { done = w.doneWrites(), conflicts = w.conflicts(); });
-        // Each order again, at every core; the judge of the world sees that no answer changes.
+        // Each write again, at every core; World checks that no result changes.
         w.at(sim::World::millis(10000), [&] {
             for (size_t i = 0; i < 3; ++i) ask(i, one), ask(i, other);
         });
@@ -412,7 +414,7 @@
     }
 }
 
-// The same order at two cores at once, as after an answer that was lost: both say that it is done.
+// The same write at several cores at once, as after a lost reply: all confirm it.
 TEST(Core, ConfirmsTheSameWriteAtSeveralCores) {
     sim::World w({3, 5, 2, Defect::none, false, 15, false});
     w.at(sim::World::millis(8000), [&w] {
@@ -423,7 +425,7 @@
     EXPECT_EQ(w.conflicts(), 0);
 }
 
-// A lower number than the one in force is confirmed and alters nothing.
+// A write below the current version is confirmed and changes nothing.
 TEST(Core, ConfirmsAnOlderWriteWithoutApplyingIt) {
     sim::World w({4, 3, 1, Defect::none, false, 15, false});
     w.at(sim::World::millis(8000), [&w] { w.writeAt(0, Value{9, 1, "9:1"}); });
@@ -433,7 +435,8 @@
     EXPECT_EQ(w.doneWrites(), 2);
 }
 
-// A writer dies after one disk has its text: a read settles it, and what it then gives stays.
+// A writer dies before its value is chosen: a read settles the version, and the result never changes
+// afterwards.
 TEST(Core, AReaderSettlesAValueWhoseWriterDied) {
     sim::World w({6, 3, 1, Defect::none, false, 15, false});
     w.loss_ = 0;
@@ -447,7 +450,8 @@
     EXPECT_EQ(w.doneWrites() + w.conflicts() >= 1, true);
 }
 
-// What was heard of an earlier disk of the same machine, before it was lost, is no sign that this one is old.
+// A higher save count of an earlier, lost disk of the same machine does not mean that this disk was rolled
+// back.
 TEST(Core, IgnoresSaveCountsOfAnEarlierDisk) {
     for (const bool same : {false, true}) {
         DurableState disk = durable();
--- a/system/consensus/history_test.cpp
+++ b/system/consensus/history_test.cpp
@@ -1,5 +1,5 @@
-// Long histories: thousands of changes with restarts, lost disks, freezes and cuts in their midst. What a
-// disk holds is bounded by the present state, and each core ends level once changes pause.
+// Long histories: thousands of writes with restarts, lost disks, freezes and network cuts. The size of a
+// disk's state stays bounded, and all cores converge once writes pause.
 #include <gtest/gtest.h>
 
 #include <cstdlib>
@@ -11,7 +11,7 @@
 namespace petrelpond::consensus {
 namespace {
 
-// Simulated seconds of troubles; CONSENSUS_SECONDS=6000 plays over ten thousand changes.
+// Simulated seconds with faults; CONSENSUS_SECONDS=6000 runs more than ten thousand writes.
 uint32_t requestedSeconds() { return numberFromEnvironment("CONSENSUS_SECONDS", 300); }
 
 TEST(History, AllCoresConvergeAndNoDiskGrows) {
--- a/system/consensus/lease.cpp
+++ b/system/consensus/lease.cpp
@@ -1,18 +1,20 @@
-// The lease of the one duty: ballots, terms, heartbeats.
+// The lease: elections, terms and heartbeats.
 #include "system/consensus/core_internal.hpp"
 
 namespace petrelpond::consensus {
 
 //
-// At most one core holds at any instant: to hold needs a majority that answered something sent less than
-// `leaseDuration` ago, and whoever answered votes for nobody else within a sixteenth more than
-// `leaseDuration` of answering. So whoever is voted in by a majority knows one voter whose promise to each
-// earlier holder had run out. A voter follows a beat of a higher term at once: its sender was voted in by
-// such a majority, and the earlier holder, refused by it since, holds no more. After a restart it is known to
-// whom the promise was given last, not until when: so no vote for another within that time. That one gets it
-// at once, as each may always vote for whom it has promised to: a core's lease of an earlier life or ballot
-// harms none of its own. One promise is enough to know: the ones before were over as the last was given, or
-// their holder had been refused by a majority that voted in the last one.
+// At most one core holds the lease at any instant. To hold it a core needs replies of a majority to messages
+// that it sent less than leaseDuration ago, and a voter that replied votes for nobody else until
+// leaseDuration plus one sixteenth has passed. So the majority that elects a new holder contains, for each
+// earlier holder, a voter whose promise to it had expired.
+//
+// A voter follows a heartbeat of a higher term at once: its sender was elected by such a majority, and the
+// earlier holder, which that majority has refused since, no longer holds the lease. After a restart a voter
+// knows to whom it gave its last promise but not when it expires, so it votes for no other candidate for a
+// whole promise duration. It may always vote for the node that it has promised to, since a core's own earlier
+// lease does not conflict with a new one. Remembering one promise is enough: earlier ones had expired when
+// the last one was given, or their holder had been refused by the majority that elected the last one.
 
 bool Core::wouldVote(Instant now, const NodeId& candidate) const {
     return isMember() &&
@@ -43,13 +45,13 @@
         electionAt_ = now + options_.leaseDuration;
         return;
     }
-    if (!lease_.holder.empty()) return;  // when it lapses, enter() sets the next
+    if (!lease_.holder.empty()) return;  // beginInput() schedules an election when it expires
     if (!wouldVote(now, options_.self)) {
         electionAt_ = leasePromisedUntil_ + randomSpan(options_.leaseDuration * 0.25);
         return;
     }
-    // First only asked whether they would: against a core that nobody hears, or only few, and that would
-    // drive the term up and so put down the living holder once it is heard again.
+    // Pre-vote: otherwise a core that few others hear would raise its term and depose the active holder once
+    // it is heard again.
     requestVotes(now, Candidacy::preVoting);
 }
 
@@ -62,7 +64,7 @@
     electionAt_ = now + electionTimeout(options_);
     votes_.clear();
     if (candidacy == Candidacy::voting) {
-        // Saved before it is told: against a restart after which the same term would be won a second time.
+        // Saved before it is sent; otherwise the same term could be won a second time after a restart.
         state_.term = candidateTerm_;
         state_.votedFor = options_.self;
         markDirty();
@@ -80,7 +82,7 @@
     return m;
 }
 
-// What is told of it waits for termSaveToken_: then it is on disk to whom.
+// Messages about the promise wait for termSaveToken_, when its receiver is on disk.
 void Core::promiseLease(Instant now, const NodeId& to, uint64_t term) {
     const bool stale = options_.defect == Defect::stalePromise && !state_.leasePromisedTo.empty();
     if (state_.leasePromisedTo != to && !stale) {
@@ -124,9 +126,9 @@
     return static_cast<size_t>(heard) < majority();
 }
 
-// Against a core that hears the holder and is not heard: every heartbeat would look like contact. The holder
-// sends none once its lease is over, so at the instant of our answer that it has it stood in contact with a
-// majority.
+// Contact needs the echo of our own reply: for a core that hears the holder but is not heard, every heartbeat
+// would otherwise count as contact. The holder sends no heartbeats after its lease has expired, so when we
+// sent the echoed reply it was in contact with a majority.
 void Core::noteEchoedHeartbeat(Instant now, uint64_t echo) {
     if (options_.defect == Defect::countsEveryHeartbeatAsContact) contactAt_ = now;
     const auto answered = answeredHeartbeats_.find(echo);
@@ -151,14 +153,14 @@
 void Core::handleLeaseMessage(Instant now, const NodeId& from, const Message& m) {
     switch (m.kind) {
         case MessageKind::heartbeat: {
-            const bool own = from == options_.self;
-            if (own && !lease_.held) return;
-            Message back = makeMessage(MessageKind::heartbeatReply, m.requestId);
-            if (m.term < state_.term) {  // a vote went to a later term: tell the holder, it must catch up
-                if (isMember()) sendAfterSave(termSaveToken_, from, std::move(back));
+            const bool fromSelf = from == options_.self;
+            if (fromSelf && !lease_.held) return;
+            Message reply = makeMessage(MessageKind::heartbeatReply, m.requestId);
+            if (m.term < state_.term) {  // we voted in a later term: the holder must be elected again
+                if (isMember()) sendAfterSave(termSaveToken_, from, std::move(reply));
                 return;
             }
-            if (!own && m.term >= lease_.term) {
+            if (!fromSelf && m.term >= lease_.term) {
                 if (lease_.held) candidacy_ = Candidacy::none;
                 setLease(false, m.term, from, now + options_.leaseDuration);
             }
@@ -170,18 +172,19 @@
                 termSaveToken_ = nextToken();
             }
             promiseLease(now, from, m.term);
-            back.granted = true;
-            back.term = m.term;
+            reply.granted = true;
+            reply.term = m.term;
             noteEchoedHeartbeat(now, m.echoedHeartbeatId);
             answeredHeartbeats_[m.requestId] = now;
             std::erase_if(answeredHeartbeats_,
                           [&](const auto& one) { return now - one.second > options_.contactTimeout; });
-            return sendAfterSave(termSaveToken_, from, std::move(back));
+            return sendAfterSave(termSaveToken_, from, std::move(reply));
         }
         case MessageKind::heartbeatReply: {
             if (!lease_.held || !isVoter(from)) return;
             if (!m.granted) {
-                // Held on until it lapses, but under a higher number as soon as a majority agrees.
+                // The lease stays valid until it expires; renew it under a higher term as soon as a majority
+                // agrees.
                 if (m.term > lease_.term && candidacy_ == Candidacy::none && isMember() && !leaving_)
                     requestVotes(now, Candidacy::voting);
                 return;
@@ -190,8 +193,8 @@
             if (it == sentHeartbeats_.end() || m.term != lease_.term) return;
             newestHeartbeatReplies_[from] = std::max(newestHeartbeatReplies_[from], m.requestId);
             const Instant since = options_.defect == Defect::leaseFromReply ? now : it->second;
-            auto [at, fresh] = ackedHeartbeatAt_.emplace(from, since);
-            if (!fresh) at->second = std::max(at->second, since);
+            auto [at, inserted] = ackedHeartbeatAt_.emplace(from, since);
+            if (!inserted) at->second = std::max(at->second, since);
             return renewLease(now);
         }
         case MessageKind::release:
@@ -208,20 +211,21 @@
         case MessageKind::voteRequest: {
             const bool probe = m.kind == MessageKind::preVoteRequest;
             if (!isMember()) return;
-            Message back =
+            Message reply =
                 makeMessage(probe ? MessageKind::preVoteReply : MessageKind::voteReply, m.requestId);
-            const bool free = m.term > state_.term || (m.term == state_.term && state_.votedFor == from) ||
-                              (m.term == state_.term && options_.defect == Defect::reusesTerm);
-            back.granted = free && wouldVote(now, from);
-            if (back.granted && !probe) {
+            const bool termUnused = m.term > state_.term ||
+                                    (m.term == state_.term && state_.votedFor == from) ||
+                                    (m.term == state_.term && options_.defect == Defect::reusesTerm);
+            reply.granted = termUnused && wouldVote(now, from);
+            if (reply.granted && !probe) {
                 state_.term = m.term;
                 state_.votedFor = from;
                 markDirty();
                 termSaveToken_ = nextToken();
                 promiseLease(now, from, m.term);
-                back.term = m.term;
+                reply.term = m.term;
             }
-            return sendAfterSave(termSaveToken_, from, std::move(back));
+            return sendAfterSave(termSaveToken_, from, std::move(reply));
         }
         case MessageKind::preVoteReply:
         case MessageKind::voteReply: {
@@ -259,11 +263,11 @@
     leaving_ = true;
     candidacy_ = Candidacy::none;
     electionAt_ = Instant::never();
-    // The holder gives its own place away before it gives up the lease: another would first have to win it.
-    // It then gives it up as it learns of the new voters.
+    // The holder replaces itself as a voter before it releases the lease; another core would first have to
+    // win the lease. It releases the lease when it learns of the new voters.
     if (lease_.held) replaceAbsentVoter(now);
     if (lease_.held && !pendingChange_ && vacancyProbe_ == 0) releaseLease();
-    for (const auto& [node, peer] : peers_) sendHello(node, MessageKind::hello);  // that our place is free
+    for (const auto& [node, peer] : peers_) sendHello(node, MessageKind::hello);  // announces that we leave
     endInput(now);
 }
 
--- a/system/consensus/lease_test.cpp
+++ b/system/consensus/lease_test.cpp
@@ -1,4 +1,4 @@
-// The lease and the contact with a majority, on simulated machines: each fails without the defence that it
+// The lease and contact with a majority, on simulated machines. Each test fails without the safeguard that it
 // names.
 #include <gtest/gtest.h>
 
@@ -23,7 +23,7 @@
     EXPECT_EQ(w.run(), "");
 }
 
-// Where all start anew the last holder is voted for before the promises to it are over, and it alone.
+// After a restart of all cores, only the last holder can be elected before the promises to it expire.
 TEST(Core, AfterAFullRestartTheLastHolderRegainsTheLeaseSooner) {
     for (const bool without : {false, true}) {
         sim::World w({7, 5, 1, Defect::none, false, 15});
@@ -52,7 +52,7 @@
         sim::World::Node& n = w.nodes_[static_cast<size_t>(h)];
         n.frozenUntil = w.now_ + sim::World::millis(5000);
         w.at(sim::World::millis(4900), [&w, &n, h] {
-            EXPECT_TRUE(n.core->lease().held);  // as it still thinks
+            EXPECT_TRUE(n.core->lease().held);  // as far as it knows
             EXPECT_GT(w.clock(static_cast<size_t>(h)), n.core->lease().validUntil);
             const auto value = std::make_shared<const Value>(Value{1, 1, "x"});
             n.core->write(w.clock(static_cast<size_t>(h)), 1u << 30, value);
@@ -74,7 +74,7 @@
     w.run();
 }
 
-// A core that nobody heard for long must not put down the living holder when it is heard again.
+// A core that was isolated for long must not depose the active holder when it returns.
 TEST(Core, AnIsolatedCoreReturnsWithoutDisturbingTheHolder) {
     sim::World w({5, 5, 1, Defect::none, false, 25});
     int before = -1;
@@ -95,8 +95,9 @@
     EXPECT_EQ(w.lastTerm_, term);
 }
 
-// A member that is cut off for twenty seconds: within two it says so, it confirms and reads nothing, and it
-// is back soon after. Cut one way alone, so that it hears the heartbeats and is not heard, all the same.
+// A member is isolated for twenty seconds: within two seconds it reports that, it acknowledges nothing, and
+// it recovers soon after the cut. The same holds for a cut in one direction, where it hears heartbeats but is
+// not heard.
 std::string isolateForTwentySeconds(Defect defect, bool oneWay) {
     sim::Plan plan{9, 3, 1, defect, false, 35, false};
     plan.serviceTimings = true;
@@ -146,8 +147,8 @@
               "in contact while cut off");
 }
 
-// A core that wakes from a freeze is out of contact until a holder has heard it again.
-// The heartbeats that came meanwhile tell of answers that it gave before.
+// A core that wakes from a freeze is out of contact until a holder has received a new reply; heartbeats that
+// arrived during the freeze echo older replies.
 bool isInContactOnWakeup(Defect defect) {
     sim::Plan plan{9, 3, 1, defect, false, 20, false};
     plan.serviceTimings = true;
@@ -174,9 +175,9 @@
     EXPECT_TRUE(isInContactOnWakeup(Defect::contactFromReceipt));
 }
 
-// The holder sends a heartbeat and sleeps for most of its lease, is cut off, and hears on waking what was
-// answered before: its lease runs from when it asked, so that it is over before the others may vote for
-// another.
+// The holder sends a heartbeat, freezes for most of its lease, is cut off, and receives the earlier replies
+// on waking. Its lease must run from the sending of the heartbeat, so that it expires before the others may
+// vote for another core.
 std::string sleepThenIsolate(Defect defect) {
     sim::World w({9, 3, 1, defect, false, 20, false});
     w.loss_ = 0;
@@ -196,7 +197,7 @@
 }
 TEST(Core, ALeaseRunsFromWhenTheHeartbeatWasSent) {
     EXPECT_EQ(sleepThenIsolate(Defect::none), "");
-    EXPECT_NE(sleepThenIsolate(Defect::leaseFromReply).find("two hold the duty"), std::string::npos);
+    EXPECT_NE(sleepThenIsolate(Defect::leaseFromReply).find("two cores hold the lease"), std::string::npos);
 }
 
 }  // namespace
--- a/system/consensus/loss_schedule_for_test.hpp
+++ b/system/consensus/loss_schedule_for_test.hpp
@@ -1,7 +1,7 @@
-// A schedule of losses that keeps to what a deployment must bear: at no instant are more members lost than
-// Options::machineLosses, counted as operators count them. A machine is lost while it is down, cut off or
-// frozen and for kCatchUp after it is back; one that is replaced for good is lost until its successor has run
-// for kCatchUp. All may lose power at once at any moment.
+// A schedule of losses within what a deployment must tolerate: never more than Options::machineLosses members
+// are lost at a time, counted as operators count them. A machine counts as lost while it is down, cut off or
+// frozen and for kCatchUpMillis after its return; one that is replaced permanently counts until its successor
+// has run for kCatchUpMillis. All machines may lose power together at any moment.
 #pragma once
 
 #include <algorithm>
@@ -17,11 +17,11 @@
 class LossSchedule {
   public:
     static constexpr int64_t kCatchUpMillis = 4000;
-    static constexpr int64_t kPowerLossMillis =
-        2000;                                        // the longest that a loss of power takes a machine away
-    static constexpr int64_t kHandOverMillis = 300;  // until the place of a member that leaves is taken over
-    static constexpr int64_t kGraceMillis = 5000;    // from the word to leave to the kill
-    static constexpr int kMaxLosses = 2;  // of any plan: a core that hears all but so many is not cut off
+    static constexpr int64_t kPowerLossMillis = 2000;  // the longest downtime of a machine after a power loss
+    static constexpr int64_t kHandOverMillis = 300;    // until a leaving voter has been replaced
+    static constexpr int64_t kGraceMillis = 5000;      // from the order to shut down to the kill
+    // Of any plan; a core with at most so many blocked links is not cut off.
+    static constexpr int kMaxLosses = 2;
 
     explicit LossSchedule(World& world) : world_(world), nextSpare_(static_cast<size_t>(world.plan_.cores)) {
         for (size_t i = nextSpare_; i < world_.nodes_.size(); ++i) world_.nodes_[i].removed = true;
@@ -43,8 +43,8 @@
     int replaced() const { return replaced_; }
     int disksLost() const { return disksLost_; }
     int disksDisturbed() const { return disksDisturbed_; }
-    // Voters whose place was given away though they were there: cut off or frozen at that moment, or lately
-    // started anew; and though nothing at all was wrong with them.
+    // Voters that were replaced although they were running: cut off, frozen or recently restarted; and voters
+    // that were replaced without any fault at all.
     int pausedVotersReplaced() const { return pausedVotersReplaced_; }
     int healthyVotersReplaced() const { return healthyVotersReplaced_; }
 
@@ -61,7 +61,7 @@
     bool mayLose() const {
         return !world_.voterSets_.empty() && world_.now_ > allBackAt_ && lost() < world_.plan_.losses;
     }
-    // Of all machines; each counts as lost until it has caught up.
+    // All machines lose power; each counts as lost until it has caught up.
     void losePower() {
         world_.powerLoss();
         allBackAt_ = world_.now_ + World::millis(kPowerLossMillis + kCatchUpMillis);
@@ -69,7 +69,7 @@
     void countLoss(int64_t backAfter) {
         lossEnds_.push_back(world_.now_ + backAfter + World::millis(kCatchUpMillis));
     }
-    // A machine that is on the newest voters, or any that is there.
+    // A random machine that is present and not leaving.
     size_t victim() {
         std::vector<size_t> there;
         for (size_t i = 0; i < world_.nodes_.size(); ++i) {
@@ -98,8 +98,8 @@
               [this] { injectLoss(); });
     }
 
-    // Between changes: whatever further losses are still promised, the worst of them leave a majority of the
-    // voters, and every majority of what they leave holds somebody who knows what was acknowledged.
+    // Checked between changes of the voters: the worst losses still allowed leave a majority of the voters,
+    // and every majority of the remaining ones contains a voter with the acknowledged value.
     void checkReserve() {
         later(World::millis(50), [this] { checkReserve(); });
         if (world_.voterSets_.empty() || world_.now_ <= allBackAt_ || changing()) return;
@@ -122,7 +122,7 @@
                         " whole voters hold version " + std::to_string(world_.acknowledged_.version));
         }
     }
-    // Its disk is there and promises something, and the others can hear it.
+    // Whether it has an intact disk and the others can hear it.
     bool countsNow(size_t i) const {
         const World::Node& n = world_.nodes_[i];
         return !n.removed && n.disk && !n.disk->recovering && !unheard(i);
@@ -132,8 +132,8 @@
                                        [i](const auto& pair) { return pair.first == i; });
         return cut > kMaxLosses || world_.now_ < world_.nodes_[i].frozenUntil;
     }
-    // A voter that can be heard has not taken the newest voters over yet, or one that leaves has not yet
-    // ended.
+    // Whether a reachable voter has not taken over under the newest voters yet, or a leaving one has not
+    // ended yet.
     bool changing() const {
         const auto& voters = world_.voterSets_.rbegin()->second;
         for (size_t i = 0; i < world_.nodes_.size(); ++i) {
@@ -172,7 +172,7 @@
             return;
         }
         startSpare(successor);
-        // The successor is a loss of its own until it has caught up; the one that leaves, once it is gone.
+        // The successor counts as a loss until it has caught up; the leaving machine once it has ended.
         lossEnds_.push_back(world_.now_ + World::millis(kCatchUpMillis));
         leaving_.push_back(old);
         later(between, [this, old] { leaveWhenAllowed(old); });
@@ -186,7 +186,7 @@
         world_.kill(i);
         world_.nodes_[i].removed = true;
     }
-    // Planned work waits while another loss has its time, as operators do.
+    // Planned shutdowns wait until other losses are over, as operators do.
     void leaveWhenAllowed(size_t i) {
         if (!mayLose()) {
             later(World::millis(250), [this, i] { leaveWhenAllowed(i); });
@@ -217,7 +217,7 @@
     void loseDisk() {
         if (!mayLose()) return;
         const size_t i = victim();
-        // A machine has one disk: the lost one may be replaced, the troubled one may not be lost meanwhile.
+        // A disk that refuses writes or hangs does not get lost as well.
         if (troubled(i)) return;
         const int64_t away = World::millis(world_.below(1500));
         countLoss(away);
@@ -232,7 +232,8 @@
     bool troubled(size_t i) const {
         return world_.nodes_[i].diskRefusesWrites || world_.now_ < world_.nodes_[i].diskHangsUntil;
     }
-    // One at a time, of a machine whose disk has been rebuilt. No loss: the others go on as scheduled.
+    // Makes one disk at a time refuse writes or hang, unless it is being rebuilt. This is no loss; the other
+    // losses go on as scheduled.
     void disturbDisk() {
         const size_t i = victim();
         const int64_t span = World::millis(1000 + world_.below(14000));
--- a/system/consensus/membership.cpp
+++ b/system/consensus/membership.cpp
@@ -1,53 +1,57 @@
-// Who counts towards a majority: the agreement on the first voters, and on each that follows it.
+// Membership: agreement on the first voters and on every change of the voters.
 #include "system/consensus/core_internal.hpp"
 
 namespace petrelpond::consensus {
 
-// A set of voters is taken over from the one before it, as a lost disk is rebuilt: whoever learns of a new
-// one takes no part any more until a majority of the former voters, all of whom have heard of the new one
-// too, has told it all that it knows (hasEnoughRecoverReplies). Why nothing is lost: what was done under the
-// former voters was done by a majority M of it; the tellers Q are another, so some q is in both, and it
-// answered M before it heard of the new voters, thus before it told us. From then on no majority of the
-// former voters answers under it, so nothing more is done there. Epochs decide who is counted with whom; each
-// is decided by ballots among the members of the one before, hence there is one set of voters an epoch. Whose
-// disk was lost can't know whether it took part already, and takes over from the members of its own voters
-// alone. Who comes may have an empty disk too; that it is the very disk that was meant (its birth) shows that
-// it never took part. It harms by a pause of some round trips and one sync in which there is no majority, and
-// by one leaseDuration without a new duty.
+// New voters take over the state of the former ones in the same way as a lost disk is rebuilt: a core that
+// learns of new voters stops acting as a voter until a majority of the former voters, all of which know of
+// the new ones too, has sent it all that they know (hasEnoughRecoverReplies).
+//
+// Why nothing is lost: whatever was done under the former voters was done by a majority M of them. The
+// repliers Q are another majority, so some q is in both; it answered M before it learned of the new voters,
+// and so before it replied to us. From then on no majority of the former voters answers under their epoch, so
+// nothing more is done there.
+//
+// Replies count only within one epoch. Each epoch is decided by ballots among the voters of the previous one,
+// so an epoch has exactly one set of voters. A core with a lost disk cannot know whether it already took
+// part, and takes over only from members of its own set of voters. A joining core may have an empty disk too;
+// that its diskId is the one named in the change shows that it never took part.
+//
+// Drawback: a pause of some round trips and one sync without a majority, and one leaseDuration without a new
+// lease.
 void Core::learnVoters(Instant now, uint64_t epoch, std::vector<NodeId> voters,
                        std::vector<NodeId> formerVoters, std::vector<std::string> joinedDisks) {
     if (voters.empty() || epoch <= state_.epoch) return;
-    const bool tookPart = state_.epoch + 1 == epoch && selfIsVoter() && !state_.recovering;
+    const bool wasVoter = state_.epoch + 1 == epoch && selfIsVoter() && !state_.recovering;
     sortUnique(joinedDisks);
-    const bool meant = contains(joinedDisks, withDiskId(options_.self, state_.diskId));
-    const bool whole = !state_.recovering || state_.takeoverState > 0 || meant;
+    const bool isNamedDisk = contains(joinedDisks, withDiskId(options_.self, state_.diskId));
+    const bool isIntact = !state_.recovering || state_.takeoverState > 0 || isNamedDisk;
     sortUnique(voters);
     sortUnique(formerVoters);
     state_.voters = std::move(voters);
     state_.formerVoters = std::move(formerVoters);
     state_.joinedDisks = std::move(joinedDisks);
     state_.epoch = epoch;
-    state_.votersBallot = state_.votersAcceptedBallot =
-        0;  // of the ballots on these voters; those on the next begin anew
+    state_.votersBallot = state_.votersAcceptedBallot = 0;  // ballots on the next voters start from 0
     state_.votersAcceptedOffer.clear();
-    // Of the first voters nobody has had a promise before, so a disk that was meant has none to rebuild.
-    if (epoch == 1 && meant) state_.recovering = false, state_.mayElect = true;
+    // Nobody has made a promise before the first voters, so a disk named in them has nothing to recover.
+    if (epoch == 1 && isNamedDisk) state_.recovering = false, state_.mayElect = true;
     if (epoch > 1) {
-        state_.takeoverState = tookPart ? 2 : whole ? 1 : 0;
-        state_.recovering = options_.defect != Defect::skipsTakeover || !whole;
+        state_.takeoverState = wasVoter ? 2 : isIntact ? 1 : 0;
+        state_.recovering = options_.defect != Defect::skipsTakeover || !isIntact;
         if (options_.defect == Defect::emptyDiskTakesOver)
             state_.takeoverState = std::max<uint8_t>(state_.takeoverState, 1);
-        if (meant) state_.mayElect = true;
+        if (isNamedDisk) state_.mayElect = true;
         recoverRequestId_ = 0;
-        if (state_.takeoverState > 0) recoverAt_ = now;  // a lost disk still has its wait
+        if (state_.takeoverState > 0) recoverAt_ = now;  // a lost disk still waits for recoveryDelay
         candidacy_ = Candidacy::none;
         ackedHeartbeatAt_.clear();
         sentHeartbeats_.clear();
-        // It could not be renewed: given up at once, so that others may stand.
+        // The lease could not be renewed: release it at once so that others may stand.
         if (lease_.held && (!selfIsVoter() || leaving_)) releaseLease();
         if (electionAt_ == Instant::never() && !lease_.held && lease_.holder.empty() && !leaving_)
             electionAt_ = now + options_.leaseDuration;
-        for (auto& [requestId, op] : operations_) {  // what members of the former voters said counts no more
+        for (auto& [requestId, op] : operations_) {  // replies of the former voters no longer count
             beginStep(op, Operation::Step::reading, now);
         }
     }
@@ -69,9 +73,9 @@
     m.joinedDisks = state_.joinedDisks;
 }
 
-// Whether what binds a member of a set of voters may be answered and counted: only between cores that are on
-// the same one. Whoever is behind is told of the newer voters, or asks for it. One that knows none yet is
-// heard as before.
+// Whether messages that bind a voter may be answered and counted: only between cores of the same epoch. A
+// core that is behind is sent the newer voters, or asks for them. Messages of a core that knows no voters yet
+// are accepted.
 bool Core::isSameEpoch(const NodeId& from, const Message& m) {
     if (m.epoch == state_.epoch || m.epoch == 0 || state_.epoch == 0 ||
         options_.defect == Defect::countsOtherEpochs)
@@ -106,29 +110,31 @@
     const bool all = heard == state_.electors.size();
     const bool enough = heard > state_.electors.size() / 2 && now - startedAt_ >= Span::millis(5000);
     if (!all && !enough) return;
-    // Against proposers that outbid one another for ever: each waits for a while of its own before it tries.
+    // Random pauses keep proposers from outbidding one another forever.
     if (randomSpan(Span::millis(1000)) < Span::millis(700)) return;
     proposeFirstVoters(now);
 }
 
 void Core::proposeFirstVoters(Instant now) {
-    std::vector<NodeId> fit, all;
-    if (options_.mayVote) (state_.recovering ? all : fit).push_back(withDiskId(options_.self, state_.diskId));
+    std::vector<NodeId> intact, candidates;
+    if (options_.mayVote)
+        (state_.recovering ? candidates : intact).push_back(withDiskId(options_.self, state_.diskId));
     for (const auto& [node, p] : peers_) {
-        if (p.saidHello && p.mayVote) (p.recovering ? all : fit).push_back(withDiskId(node, p.diskId));
+        if (p.saidHello && p.mayVote)
+            (p.recovering ? candidates : intact).push_back(withDiskId(node, p.diskId));
     }
-    all.insert(all.end(), fit.begin(), fit.end());
-    // Those who lost their disk belong among the voters too, unless they are so many that they could not
-    // recover. Nor can anybody recover on a set of voters of less than 2 losses + 1. Both may pass, and a set
-    // of voters is for ever: the few are proposed only after a long while. It harms where fewer cores were
-    // set up than that.
-    const bool able = fit.size() >= all.size() / 2 + 1;
-    // With fewer than three seeds there are no more cores than those.
+    candidates.insert(candidates.end(), intact.begin(), intact.end());
+    // Cores that lost their disk become voters too, unless they are so many that they could not recover.
+    // Nobody can recover in a set of fewer than 2 * machineLosses + 1 voters either. Both conditions may be
+    // temporary while the voters are permanent, so a smaller set is proposed only after 15 s. Drawback: a
+    // system that is set up with fewer cores starts that much later.
+    const bool canRecover = intact.size() >= candidates.size() / 2 + 1;
+    // With fewer than three seeds, the seeds are all cores there are.
     size_t needed = 2 * static_cast<size_t>(std::max(0, options_.machineLosses)) + 1;
     if (state_.electors.size() < 3) needed = std::min(needed, state_.electors.size());
-    const bool large = all.size() >= needed;
-    if ((!able || !large) && now - startedAt_ < Span::millis(15000)) return;
-    offer_ = able ? all : fit;
+    const bool isLargeEnough = candidates.size() >= needed;
+    if ((!canRecover || !isLargeEnough) && now - startedAt_ < Span::millis(15000)) return;
+    offer_ = canRecover ? candidates : intact;
     sortUnique(offer_);
     if (offer_.empty()) return;
     beginBallot(now);
@@ -143,7 +149,7 @@
     ballotStartedAt_ = now;
     promises_.clear();
     acceptances_.clear();
-    // Saved before it is told: against a restart that would use the same number for another offer.
+    // Saved before it is sent; otherwise a restart could use the same ballot for another offer.
     state_.votersBallot = ballot_;
     markDirty();
     sendBallot(now);
@@ -153,7 +159,7 @@
     return ballot_ != 0 && now - ballotStartedAt_ <= options_.operationTimeout;
 }
 
-// To all that have not answered this step of the ballot.
+// Sends the current step of the ballot to all acceptors that have not answered it.
 void Core::sendBallot(Instant now) {
     ballotSentAt_ = now;
     Message m = makeMessage(accepting_ ? MessageKind::accept : MessageKind::prepare);
@@ -166,10 +172,11 @@
     }
 }
 
-// Against a single lost message that holds up a change for a whole operationTimeout: a member that was told
-// to leave has not handed over by then, and the next loss takes the majority away (schedule 24544 of
-// replacement_test). Repeated messages do no harm: acceptors answer each alike, and answers are counted once
-// for each acceptor. It harms by up to five more messages to each member that does not answer.
+// Without resending, one lost message delays a change for a whole operationTimeout: a voter that was told to
+// leave has not handed over by then, and the next loss takes the majority away (schedule 24544 of
+// replacement_test). Repeated messages are harmless: acceptors answer each of them in the same way, and
+// replies are counted once per acceptor. Drawback: up to five more messages to each member that does not
+// answer.
 void Core::resendBallot(Instant now) {
     if (options_.defect == Defect::neverResendsBallots) return;
     if (now - ballotSentAt_ >= options_.heartbeatInterval * kRetryHeartbeats) sendBallot(now);
@@ -188,7 +195,7 @@
     } else if (!reason.empty()) {
         finishVotersChange(ticket, OperationResult::refused, reason);
     } else if (wanted.voters == state_.voters) {
-        startOperation(now, ticket, true, true, nullptr);  // it is in force; done once it answers
+        startOperation(now, ticket, true, true, nullptr);  // already in force: done after a read
     } else {
         pendingChange_ = std::move(wanted);
         proposeVotersChange(now);
@@ -218,33 +225,34 @@
     return change;
 }
 
-// Why a change can't be; empty: it can.
+// Returns why the change is invalid; empty if it is valid.
 std::string Core::refusalReason(const VotersChange& change, const std::vector<NodeId>& removed,
                                 const std::vector<NodeId>& added) const {
-    if (pendingChange_) return "another change is under way";
-    const size_t least = 2 * static_cast<size_t>(std::max(0, options_.machineLosses)) + 1;
-    if (change.voters.size() < std::min(least, state_.voters.size())) {
-        return std::to_string(change.voters.size()) + " voters do not bear the loss of " +
+    if (pendingChange_) return "another change of the voters is in progress";
+    const size_t minimum = 2 * static_cast<size_t>(std::max(0, options_.machineLosses)) + 1;
+    if (change.voters.size() < std::min(minimum, state_.voters.size())) {
+        return std::to_string(change.voters.size()) + " voters do not tolerate the loss of " +
                std::to_string(options_.machineLosses);
     }
-    // Said again after an answer that was lost, it finds all done; else a wrong address would only add to the
-    // voters.
-    const bool there = std::all_of(added.begin(), added.end(), [&](const NodeId& n) { return isVoter(n); });
+    // A repeated request, whose first reply was lost, finds the new voters already in place. Otherwise
+    // removing a wrong address is refused, since the change would only add voters.
+    const bool alreadyVoters =
+        std::all_of(added.begin(), added.end(), [&](const NodeId& n) { return isVoter(n); });
     for (const NodeId& n : removed) {
-        if (!there && !isVoter(n)) return n + " is not among the voters";
+        if (!alreadyVoters && !isVoter(n)) return n + " is not among the voters";
     }
     for (const NodeId& n : added) {
         if (isVoter(n) && !contains(removed, n)) continue;
         const auto it = peers_.find(n);
-        const bool here = it != peers_.end() && it->second.saidHello && it->second.mayVote &&
-                          change.since - it->second.heardAt <= options_.heartbeatInterval * 120;
-        if (n == options_.self ? !options_.mayVote : !here)
-            return n + " is not heard of as a core whose disk may count";
+        const bool isKnown = it != peers_.end() && it->second.saidHello && it->second.mayVote &&
+                             change.since - it->second.heardAt <= options_.heartbeatInterval * 120;
+        if (n == options_.self ? !options_.mayVote : !isKnown)
+            return n + " is not a known core that may become a voter";
     }
     return {};
 }
 
-// Ticket 0 is a replacement that was begun here: nobody waits for its answer.
+// Ticket 0 is a replacement begun by this core: no caller waits for its result.
 void Core::finishVotersChange(uint64_t ticket, OperationResult::Outcome outcome, std::string reason) {
     if (ticket == 0) return;
     outputs_.push_back(OperationResult{ticket, outcome, nullptr, std::move(reason)});
@@ -257,13 +265,14 @@
     proposeAt_ = now + options_.heartbeatInterval * kRetryHeartbeats;
     if (state_.epoch > pendingChange_->epoch) {
         const uint64_t ticket = pendingChange_->ticket;
-        const bool ours =
+        const bool isOurs =
             state_.epoch == pendingChange_->epoch + 1 && state_.voters == pendingChange_->voters;
         pendingChange_.reset();
         proposeAt_ = Instant::never();
-        if (!ours)
+        if (!isOurs)
             return finishVotersChange(ticket, OperationResult::refused, "another change was decided first");
-        // Decided; done once the new voters answer: till then the machine that leaves is still needed.
+        // Decided, but done only once the new voters answer a read: until then the removed machine is still
+        // needed.
         return startOperation(now, ticket, ticket != 0, true, nullptr);
     }
     if (now - pendingChange_->since > options_.operationTimeout * 4) {
@@ -275,7 +284,7 @@
     if (!isAcceptor()) return;
     if (isBallotActive(now)) return resendBallot(now);
     if (ballot_ != 0 && randomSpan(Span::millis(1000)) < Span::millis(500)) {
-        return;  // against two that outbid each other
+        return;  // keeps two proposers from outbidding each other
     }
     offer_ = pendingChange_->offer;
     beginBallot(now);
@@ -284,28 +293,28 @@
 void Core::handleVotersBallot(Instant now, const NodeId& from, const Message& m) {
     highestBallot_ = std::max(highestBallot_, m.ballot);
     if (m.kind == MessageKind::prepare || m.kind == MessageKind::accept) {
-        Message back = makeMessage(
+        Message reply = makeMessage(
             m.kind == MessageKind::prepare ? MessageKind::promise : MessageKind::accepted, m.ballot);
-        addVotersTo(back);
-        if (m.epoch < state_.epoch) return send(from, std::move(back));  // decided
+        addVotersTo(reply);
+        if (m.epoch < state_.epoch) return send(from, std::move(reply));  // already decided
         if (!isAcceptor()) return;
-        // The same number again comes from the same proposer, whose question or our answer was lost.
+        // The same ballot again comes from the same proposer, whose request or our reply was lost.
         if (m.kind == MessageKind::prepare && m.ballot >= state_.votersBallot) {
             state_.votersBallot = m.ballot;
-            back.granted = true;
+            reply.granted = true;
             markDirty();
         } else if (m.kind == MessageKind::accept && m.ballot >= state_.votersBallot && !m.nodes.empty()) {
             state_.votersBallot = state_.votersAcceptedBallot = m.ballot;
             state_.votersAcceptedOffer = m.nodes;
-            back.granted = true;
+            reply.granted = true;
             markDirty();
         }
-        back.ballot = state_.votersBallot;
-        back.acceptedBallot = state_.votersAcceptedBallot;
-        back.nodes = state_.votersAcceptedOffer;
-        return sendAfterSync(from, std::move(back));
+        reply.ballot = state_.votersBallot;
+        reply.acceptedBallot = state_.votersAcceptedBallot;
+        reply.nodes = state_.votersAcceptedOffer;
+        return sendAfterSync(from, std::move(reply));
     }
-    // The ballot's time is bounded for the same reason as that of a write.
+    // A ballot is limited in time for the same reason as a write, see recoveryDelay.
     if (m.requestId != ballot_ || !m.granted || !isBallotActive(now)) return;
     if (!isAcceptor() || !contains(acceptors(), from)) return;
     const size_t needed = acceptors().size() / 2 + 1;
--- a/system/consensus/message.cpp
+++ b/system/consensus/message.cpp
@@ -1,4 +1,4 @@
-// Messages between cores as one msgpack array.
+// Encodes each message between cores as one msgpack array.
 #define MSGPACK_NO_BOOST
 #include <msgpack.hpp>
 
@@ -9,8 +9,8 @@
 
 constexpr uint32_t kFieldCount = 30;
 
-// What a core may send at most: against a length that makes us reserve memory for garbage. It harms where a
-// configuration outgrows 64 MB or a system 4096 cores.
+// Limits of a message, so that a length in malformed input cannot make us reserve much memory. Drawback: a
+// configuration above 64 MB or a system of more than 4096 cores does not fit.
 const msgpack::unpack_limit& unpackLimits() {
     static const msgpack::unpack_limit limit(4096, 4096, 4096, 64u << 20, 0, 4);
     return limit;
@@ -60,7 +60,7 @@
 
 std::optional<Message> decode(std::string_view bytes) {
     try {
-        // The body is only looked at where it lies and copied once, into the value.
+        // The body is referenced in the input and copied only once, into the value.
         const auto inPlace = [](msgpack::type::object_type, size_t, void*) { return true; };
         size_t used = 0;
         const msgpack::object_handle handle =
@@ -99,7 +99,7 @@
             m.value = std::move(value);
         }
         return m;
-    } catch (const std::exception&) {  // msgpack tells of garbage by exceptions of many kinds
+    } catch (const std::exception&) {  // msgpack throws various exceptions for malformed input
         return {};
     }
 }
--- a/system/consensus/null_logger.hpp
+++ b/system/consensus/null_logger.hpp
@@ -1,4 +1,5 @@
-// LevelDB's own log is of no use to anybody, costs writes and is a file beside the database.
+// A LevelDB logger that discards everything: LevelDB's info log would cost writes and add a file beside the
+// database.
 #pragma once
 
 #include <leveldb/env.h>
--- a/system/consensus/rebuild_test.cpp
+++ b/system/consensus/rebuild_test.cpp
@@ -1,6 +1,5 @@
-// A disk that was lost is rebuilt within the time that operators wait before they count on one more loss,
-// also beside a disk that takes no writes. Operators don't count such a disk as lost, so the next one may go
-// then.
+// A lost disk is rebuilt within the time that operators allow before the next loss, even while another disk
+// takes no writes. Operators don't count such a disk as lost, so the next disk may be lost then.
 #include <gtest/gtest.h>
 
 #include <iostream>
@@ -15,9 +14,9 @@
 
 enum class DiskTrouble : uint8_t { refusesWrites, hangs };
 
-// Of three cores the disk of 10.0.0.2 is in trouble; that of 10.0.0.3 is lost and, once that machine had its
-// time to catch up, that of 10.0.0.1 too, as all others lose power. Nothing: what was acknowledged is there,
-// and all work in the end.
+// Of three cores, the disk of 10.0.0.2 has the fault; the disk of 10.0.0.3 is lost and, after the time to
+// catch up, that of 10.0.0.1 too while all others lose power. Returns what went wrong; empty if everything
+// acknowledged is still there and all cores work in the end.
 std::string loseTwoDisksInTurn(DiskTrouble trouble, uint32_t seed, Defect defect = Defect::none) {
     sim::Plan plan{seed, 3, 1, defect, false, 30, true};
     plan.serviceTimings = true;
@@ -38,7 +37,7 @@
     world.at(sim::World::millis(7500 + kCatchUpMillis), [&] {
         const auto& disk = world.nodes_[2].disk;
         if (!disk || disk->recovering) wrong = "the lost disk is not rebuilt in time";
-        world.powerLoss();  // as the disk goes, all others lose power
+        world.powerLoss();  // at the moment of the disk loss
         loseDisk(0);
     });
     const std::string broken = world.run();
@@ -60,7 +59,7 @@
     EXPECT_NE(loseTwoDisksInTurn(DiskTrouble::hangs, 1, Defect::recoverReplyWaitsForDisk), "");
 }
 
-// What operators are told where two of three disks are lost, and a third would have to vouch for all.
+// Operators must see the number of lost disks when two of three are lost and no majority can recover.
 TEST(Rebuild, EachCoreReportsHowManyDisksAreLost) {
     sim::Plan plan{1, 3, 1, Defect::none, false, 20, false};
     plan.serviceTimings = true;
@@ -80,7 +79,7 @@
         for (size_t i = 0; i < 3; ++i)
             EXPECT_EQ(world.nodes_[i].core->lostVoterCount(world.clock(i)), 0) << i;
     });
-    EXPECT_NE(world.run(), "");  // it stays so
+    EXPECT_NE(world.run(), "");  // the cluster cannot recover from this
 }
 
 sim::Plan planWithDiskFaults(uint32_t seed, Defect defect) {
@@ -91,7 +90,7 @@
     return plan;
 }
 
-// REBUILD_SCHEDULES=10000 for a long search, REBUILD_FIRST to begin elsewhere.
+// REBUILD_SCHEDULES sets the number of schedules (10000 for a long search), REBUILD_FIRST the first seed.
 TEST(Rebuild, NoScheduleOfLossesWithDiskFaultsBreaksAnInvariant) {
     const uint32_t first = numberFromEnvironment("REBUILD_FIRST", 1);
     const uint32_t count = numberFromEnvironment("REBUILD_SCHEDULES", 60);
@@ -121,10 +120,9 @@
     std::cout << "caught by " << broken << "\n";
 }
 
-// The order of events of the incidents 68 and 71, over and over: one core is cut off and misses changes,
-// another loses its disk, the third is dark for a while, and the cut heals as it returns; beside it disks
-// refuse writes or hang, and operators go on with up to ten changes a second. At last a disk is lost as all
-// others lose power.
+// Repeats the sequence of incidents 68 and 71: one core is cut off and misses writes, another loses its disk,
+// the third is down for a while, and the cut heals when it returns. Meanwhile disks refuse writes or hang,
+// and operators issue up to ten writes a second. Finally a disk is lost while all others lose power.
 class IncidentSchedule {
   public:
     explicit IncidentSchedule(sim::World& world) : world_(world) {
@@ -160,7 +158,7 @@
                 world_.at(span, [this, dark] {
                     world_.cut_.clear();
                     world_.start(dark, false);
-                    // All have caught up by then, and the next may come.
+                    // All cores have caught up by then, and the next loss may follow.
                     world_.at(sim::World::millis(kCatchUpMillis) + world_.below(5000000),
                               [this] { begin(); });
                 });
@@ -169,7 +167,7 @@
         trouble(chance(cut, dark));
     }
     size_t chance(size_t one, size_t other) { return world_.chance(0.5) ? one : other; }
-    // Of a whole disk alone, and over by the time that the next is lost.
+    // Only an intact disk is affected, and the fault ends before the next loss.
     void trouble(size_t i) {
         const int64_t span = sim::World::millis(500 + world_.below(6000));
         if (world_.chance(0.3)) return;
--- a/system/consensus/recovery.cpp
+++ b/system/consensus/recovery.cpp
@@ -1,4 +1,5 @@
-// How a member whose disk was lost, or that is new on a set of voters, learns all that it may have promised.
+// Recovery: how a core whose disk was lost, or whose voters have changed, learns all that it may have
+// promised.
 #include "system/consensus/core_internal.hpp"
 
 namespace petrelpond::consensus {
@@ -19,19 +20,20 @@
         if (state_.takeoverState > 0)
             asked.insert(asked.end(), state_.formerVoters.begin(), state_.formerVoters.end());
         sortUnique(asked);
-        Message ask = makeMessage(MessageKind::recoverRequest, recoverRequestId_);
-        addVotersTo(ask);
+        Message request = makeMessage(MessageKind::recoverRequest, recoverRequestId_);
+        addVotersTo(request);
         for (const NodeId& n : asked) {
-            if (n != options_.self) sendAfterSync(n, ask);
+            if (n != options_.self) sendAfterSync(n, request);
         }
     }
 }
 
-// No voters anywhere, and not even anybody who knows the electors: all lost power in the first instant,
-// before their first sync. As no more than machineLosses disks are lost, the other seeds never promised a
-// thing. If those are a majority of the seeds, no voters were ever decided, and we begin anew. We wait for 3
-// s after it was seen, so that all seeds see it before the first of them begins. It harms only if more disks
-// are lost than may be; with two losses and three seeds it can't be known, and nobody begins anew.
+// Handles a power loss of all cores before their first sync: no core knows any voters or even the electors.
+// As no more than machineLosses disks are lost, the other seeds never promised anything. If those are a
+// majority of the seeds, no voters were ever decided and the bootstrap may start again. It waits for 3 s
+// after this state was seen, so that all seeds see it before the first of them restarts. Drawback: it is
+// unsafe if more disks are lost than machineLosses. With two tolerated losses and three seeds the state is
+// ambiguous, and no core restarts the bootstrap.
 void Core::restartBootstrap(Instant now) {
     if (!state_.recovering || state_.mayElect || !state_.voters.empty() ||
         !contains(options_.seeds, options_.self))
@@ -57,41 +59,43 @@
     markDirty();
 }
 
-// A majority of our voters that takes part, ourselves left out. With a whole disk after a change also: anyone
-// who takes part already, as it has taken over all of the former voters; or a majority of the former voters,
-// ourselves included, each of which took part in it.
+// Enough is a majority of our voters that has recovered, not counting this core. For an intact disk after a
+// change of the voters there are two more ways: any one core that has recovered, as it has already taken over
+// the state of the former voters; or a majority of the former voters, this core included, each of which was a
+// voter then.
 bool Core::hasEnoughRecoverReplies() const {
-    size_t ours = 0, formers = state_.takeoverState == 2, entered = 0;
+    size_t ourCount = 0, formerCount = state_.takeoverState == 2, recoveredCount = 0;
     for (const auto& [node, t] : recoverReplies_) {
-        ours += !t.recovering && isVoter(node);
-        entered += !t.recovering;
-        formers += t.takeoverState == 2 && contains(state_.formerVoters, node);
+        ourCount += !t.recovering && isVoter(node);
+        recoveredCount += !t.recovering;
+        formerCount += t.takeoverState == 2 && contains(state_.formerVoters, node);
     }
-    if (ours >= majority()) return true;
-    return state_.takeoverState > 0 && (entered > 0 || formers >= state_.formerVoters.size() / 2 + 1);
+    if (ourCount >= majority()) return true;
+    return state_.takeoverState > 0 &&
+           (recoveredCount > 0 || formerCount >= state_.formerVoters.size() / 2 + 1);
 }
 
-// What one state says to a disk that was lost.
+// Builds the reply to a recoverRequest from one state.
 Message Core::makeRecoverReply(const DurableState& state, const std::shared_ptr<const Value>& value,
-                               const Message& ask) const {
-    Message tell = makeMessage(MessageKind::recoverReply, ask.requestId);
-    tell.granted = state.mayElect;
-    tell.recovering = state.recovering;
-    tell.takeoverState = state.takeoverState;
-    tell.term = state.term;
-    tell.ballot = state.votersBallot;
-    tell.acceptedBallot = state.votersAcceptedBallot;
-    tell.nodes = state.votersAcceptedOffer;
-    addVotersTo(tell);
-    tell.electors = state.electors;
-    tell.claims = state.claims.listed();
-    // Marks alone when the asker has the same value already: the body is long.
-    if (ask.syncedValue < headerOf(value)) tell.value = value;
-    return tell;
+                               const Message& request) const {
+    Message reply = makeMessage(MessageKind::recoverReply, request.requestId);
+    reply.granted = state.mayElect;
+    reply.recovering = state.recovering;
+    reply.takeoverState = state.takeoverState;
+    reply.term = state.term;
+    reply.ballot = state.votersBallot;
+    reply.acceptedBallot = state.votersAcceptedBallot;
+    reply.nodes = state.votersAcceptedOffer;
+    addVotersTo(reply);
+    reply.electors = state.electors;
+    reply.claims = state.claims.listed();
+    // Without the value if the requester already has it: the body may be large.
+    if (request.syncedValue < headerOf(value)) reply.value = value;
+    return reply;
 }
 
-// Whether what is synced speaks for this core as well as what is not yet: of the same disk, it takes part in
-// the same.
+// Whether the synced state may reply for this core: it has the same disk, epoch and participation as the
+// unsynced state.
 bool Core::isSyncedStateEquivalent() const {
     const DurableState& disk = synced_.state;
     return disk.diskId == state_.diskId && disk.epoch == state_.epoch &&
@@ -99,39 +103,39 @@
            disk.takeoverState == state_.takeoverState;
 }
 
-// Against a disk that refuses writes or hangs as another one is lost (issue 71): what this core knows newest
-// can't be told before it is synced, and until then the lost disk was not rebuilt. Operators do not count
-// such a disk as lost and go on; the next lost disk was then one too many. What is synced is enough to tell:
-// an answer that counts in anything that was done before the asker asked was synced before it was sent. It
-// harms where the asker takes something older than a majority has agreed on meanwhile, which it then hears of
-// as any member does.
-void Core::handleRecoverRequest(const NodeId& from, const Message& ask) {
+// Replies from the synced state while a save is pending (issue 71). The newest state cannot be sent before it
+// is synced, so while this disk refused writes or hung, a lost disk elsewhere was not rebuilt. Operators do
+// not count such a disk as lost and carry on, and the next lost disk was one too many. The synced state is
+// sufficient: any reply that counts in an operation done before the request was synced before it was sent.
+// Drawback: the requester may take over something older than what a majority has agreed on meanwhile; it then
+// learns the newer state like any member.
+void Core::handleRecoverRequest(const NodeId& from, const Message& request) {
     if (!state_.mayElect && state_.recovering) return;
     const bool waits = nextToken() > syncedToken_;
     if (!waits || !isSyncedStateEquivalent() || options_.defect == Defect::recoverReplyWaitsForDisk)
-        return sendAfterSync(from, makeRecoverReply(state_, value_, ask));
+        return sendAfterSync(from, makeRecoverReply(state_, value_, request));
     if (options_.defect == Defect::sendsEmptyRecoverReply)
-        return send(from, makeRecoverReply(DurableState{}, nullptr, ask));
-    send(from, makeRecoverReply(synced_.state, synced_.value, ask));
+        return send(from, makeRecoverReply(DurableState{}, nullptr, request));
+    send(from, makeRecoverReply(synced_.state, synced_.value, request));
 }
 
 void Core::handleRecoveryMessage(Instant now, const NodeId& from, const Message& m) {
     if (m.kind == MessageKind::recoverRequest) return handleRecoverRequest(from, m);
     if (m.requestId != recoverRequestId_ || (!state_.recovering && state_.mayElect)) return;
     adoptIfNewer(m.value);
-    const bool before = recoversFromVoters_;
-    if (before != !state_.voters.empty()) {  // the voters have just been learned: ask its members instead
+    const bool fromVoters = recoversFromVoters_;
+    if (fromVoters != !state_.voters.empty()) {  // the voters have just been learned: ask them instead
         recoverAt_ = std::min(recoverAt_, now);
         return;
     }
-    if (!before && (!m.granted || !inElectors(from))) return;
+    if (!fromVoters && (!m.granted || !inElectors(from))) return;
     recoverReplies_[from] = m;
     recoverReplies_[from].value = nullptr;
-    if (before ? hasEnoughRecoverReplies() : recoverReplies_.size() >= state_.electors.size() / 2 + 1)
+    if (fromVoters ? hasEnoughRecoverReplies() : recoverReplies_.size() >= state_.electors.size() / 2 + 1)
         finishRecovery(now);
 }
 
-// Takes the highest of all that was told, and takes part again.
+// Adopts the highest of everything that was replied and takes part again.
 void Core::finishRecovery(Instant now) {
     for (const auto& [node, t] : recoverReplies_) {
         state_.votersBallot = std::max(state_.votersBallot, t.ballot);
@@ -146,7 +150,8 @@
     state_.mayElect = true;
     const bool asVoter = recoversFromVoters_;
     if (asVoter) {
-        // What is not known here any more, or was promised on the former voters, may be another's by now.
+        // A promise that this disk has forgotten, or that it gave under the former voters, may belong to
+        // another core.
         leasePromisedTo_.clear();
         state_.leasePromisedTo.clear();
         state_.term = std::max(state_.term, highestTerm_);
@@ -154,7 +159,7 @@
         state_.recovering = false;
         state_.takeoverState = 0;
         rollbackChecked_ = true;
-        // Against a lease that the former voters gave: a teller may have answered its holder just before.
+        // The former voters may have renewed a lease just before they replied: wait until it has expired.
         if (state_.epoch > 1) leasePromisedUntil_ = std::max(leasePromisedUntil_, now + promiseDuration());
         if (!lease_.held)
             electionAt_ = std::max(now, leasePromisedUntil_) + randomSpan(options_.leaseDuration * 0.5);
@@ -167,9 +172,9 @@
     if (asVoter) announceRecovery();
 }
 
-// Against a member that leaves and waits for word that its place is taken over (mayLeave), and a change that
-// waits for the one before: the next hello may be half a second away. It harms by one small message to each
-// member for each that takes part anew.
+// A leaving member waits to hear that its successor has recovered (mayLeave), and a further change of the
+// voters waits for the previous one; the next hello may be half a second away. Drawback: one small message to
+// each member for every core that recovers.
 void Core::announceRecovery() {
     for (const auto& [node, peer] : peers_) {
         if (isVoter(node) || contains(state_.formerVoters, node))
--- a/system/consensus/register.cpp
+++ b/system/consensus/register.cpp
@@ -1,20 +1,22 @@
-// The register: how a value is written to a majority of disks and read from one.
+// The register: writes a value to a majority of the disks and reads it from one.
 //
-// A version is decided once. Its text is agreed on by ballots, one series for each version: a writer claims
-// the version under a ballot from a majority (claim, answered by claimed), takes over the text that was
-// accepted there under the highest ballot, or its own where there is none, and puts it (put, answered by
-// held). Once a majority has accepted it under one ballot it is chosen, and every later ballot for that
-// version finds it. Of two texts that are written under one number one is chosen; who sent the other is told
-// `conflict`. Versions need no order among themselves: an acceptor that holds a higher version answers with
-// it, and whoever hears of a higher version ends only once that one is chosen. So what was acknowledged is
-// either chosen or overtaken by what is.
+// Each version is decided once, by its own instance of single-decree Paxos. A writer claims the version under
+// a ballot from a majority (claim, answered by claimReply), takes over the value that was accepted there
+// under the highest ballot, or its own where there is none, and puts it (put, answered by registerReply).
+// Once a majority has accepted a value under one ballot, it is chosen, and every later ballot for that
+// version finds it. Of two values written under one version one is chosen; the writer of the other gets
+// `conflict`. Versions need no order among themselves: an acceptor that holds a higher version replies with
+// it, and an operation that learns of a higher version ends only once that version is chosen. So an
+// acknowledged value is either chosen or superseded by a chosen one.
 //
-// A read asks a majority. If it agrees, or somebody knows what it holds to be chosen, that is the answer.
-// Else a writer may be under way or may have died; after a while the reader claims the version itself.
+// A read asks a majority. If all replies agree, or a member knows its value to be chosen, that value is the
+// result. Otherwise a writer may be active or may have died; after a delay the reader claims the version
+// itself.
 //
-// Weighed: letting the digest decide between two texts, as before (both were told yes, and one was
-// displaced); reading before each write (narrows the gap and does not close it); one writer at a time by the
-// lease (no writes while it is vacant). It costs one more sync of a short record for each change.
+// Rejected alternatives: letting the digest decide between two values (both writers got an acknowledgement,
+// and one value was displaced); reading before each write (narrows the race but does not close it); a single
+// writer elected by the lease (no writes while it is vacant). Drawback: one more sync of a short record for
+// each write.
 #include <utility>
 
 #include "system/consensus/core_internal.hpp"
@@ -22,17 +24,18 @@
 namespace petrelpond::consensus {
 namespace {
 
-// How long another writer's text may stand unchosen before a reader settles it; several round trips between
-// regions and syncs. Harm if too short: two outbid each other; if too long: a read after a writer's death
-// waits.
+// How long another writer's value may remain undecided before a reader claims its version: several round
+// trips between regions plus syncs. Too short: the two outbid each other. Too long: a read after a writer's
+// death waits.
 const Span kSettleDelay = Span::millis(200);
 const Span kSettleJitter = Span::millis(150);
 
-// Before a version is claimed again; its random part doubles so often.
+// The pause before a version is read and claimed again, and how often its random part may double.
 const Span kOutbidPause = Span::millis(25);
 constexpr int kMaxOutbidDoublings = 4;
 
-// Ballots of two proposers never are the same: the lower half names the machine.
+// Two proposers never use the same ballot: the lower half is the machine's IPv4 address (a hash of any other
+// name).
 uint64_t makeBallot(uint64_t round, const NodeId& self) {
     uint32_t machine = 0;
     uint32_t part = 0;
@@ -53,7 +56,7 @@
 
 }  // namespace
 
-// ---- what this disk has accepted and promised
+// // ---- accepted values and promises of this disk
 
 void Core::adoptIfNewer(const std::shared_ptr<const Value>& v) {
     if (!v || headerOf(v) <= headerOf(value_)) return;
@@ -61,8 +64,8 @@
     markDirty();
 }
 
-// `v` is known to be chosen. A member behind takes it whatever it has promised: no ballot for that version
-// can end with another text.
+// `v` is known to be chosen. A core with an older or another value takes it regardless of its promises, as no
+// ballot for that version can choose another value.
 void Core::learnChosen(const std::shared_ptr<const Value>& v) {
     if (!v || v->version <= chosenHeader_.version) return;
     chosen_ = v;
@@ -78,7 +81,7 @@
     outputs_.push_back(ValueChosen{v});
 }
 
-// What this disk holds, as others are told: with the knowledge that it is chosen, where we have it.
+// The synced value as reported to others, marked as chosen if that is known.
 ValueHeader Core::syncedHeader() const {
     const ValueHeader onDisk = headerOf(synced_.value);
     return isSameContent(onDisk, chosenHeader_) ? chosenHeader_ : onDisk;
@@ -94,84 +97,84 @@
     claimRequests_.erase(claimRequests_.begin(), claimRequests_.lower_bound(below));
 }
 
-// Whether this core knows that this text was chosen: since it started, or by its disk. Against a core that is
-// no member, whose own disk is not asked: it saw that the version is decided, and never that the text which a
-// majority holds is the one.
+// Whether this core knows that this value was chosen, from messages or from its disk. The disk matters for a
+// core that is not a member and so is not among the replies: it knew that the version was decided, but not
+// that the value of the majority was the chosen one, and read again forever.
 bool Core::isKnownChosen(const ValueHeader& header) const {
     if (isSameContent(header, chosenHeader_)) return true;
     return value_ && value_->ballot == kChosenBallot && isSameContent(header, headerOf(value_)) &&
            options_.defect != Defect::retriesWithoutPause;
 }
 
-// Whether this core knows what was chosen for the version, or that a higher one was.
+// Whether this core knows the chosen value of this version or of a higher one.
 bool Core::isDecided(int64_t version) const {
     const bool onDisk = value_ && value_->version == version && value_->ballot == kChosenBallot;
     return chosenHeader_.version >= version || onDisk;
 }
 
-// A claim of a ballot for a version. The same claim again (it was sent twice) is answered again; another one
-// of the same ballot is of an earlier life of its sender, and refused.
+// A repeated claim with the same request id was sent twice and gets the same answer. Another claim under the
+// same ballot comes from a different run of its sender and is refused.
 void Core::handleClaim(const NodeId& from, const Message& m) {
     if (!isMember() || m.version <= 0) return;
-    Message back = makeMessage(MessageKind::claimReply, m.requestId);
+    Message reply = makeMessage(MessageKind::claimReply, m.requestId);
     const uint64_t promised = promisedBallot(m.version);
     const auto asked = claimRequests_.find(m.version);
-    const bool again = promised == m.ballot && asked != claimRequests_.end() &&
-                       asked->second == std::pair(from, m.requestId);
+    const bool isRepeat = promised == m.ballot && asked != claimRequests_.end() &&
+                          asked->second == std::pair(from, m.requestId);
     const bool overtaken = heldVersion() > m.version;
-    const bool full = options_.defect == Defect::refusesClaimsWhenFull &&
-                      !state_.claims.isListed(m.version) &&
-                      state_.claims.listed().size() >= Claims::kMostListed;
-    back.version = m.version;
-    if (!overtaken && !full && !isDecided(m.version) && (m.ballot > promised || again)) {
-        if (!again) {
+    const bool refusesAsFull = options_.defect == Defect::refusesClaimsWhenFull &&
+                               !state_.claims.isListed(m.version) &&
+                               state_.claims.listed().size() >= Claims::kMostListed;
+    reply.version = m.version;
+    if (!overtaken && !refusesAsFull && !isDecided(m.version) && (m.ballot > promised || isRepeat)) {
+        if (!isRepeat) {
             promiseClaim(m.version, m.ballot);
             claimRequests_[m.version] = {from, m.requestId};
             std::erase_if(claimRequests_,
                           [this](const auto& each) { return !state_.claims.isListed(each.first); });
         }
-        back.granted = true;
+        reply.granted = true;
     }
-    back.ballot = promisedBallot(m.version);
-    sendAfterSync(from, std::move(back));
+    reply.ballot = promisedBallot(m.version);
+    sendAfterSync(from, std::move(reply));
 }
 
 void Core::handlePut(const NodeId& from, const Message& m) {
     if (!isMember() || !m.value || m.value->version <= 0) return;
-    Message back = makeMessage(MessageKind::registerReply, m.requestId);
+    Message reply = makeMessage(MessageKind::registerReply, m.requestId);
     const Value& put = *m.value;
     const bool overtaken = heldVersion() > put.version;
-    const bool promisedElse =
+    const bool promisedHigher =
         promisedBallot(put.version) > put.ballot && options_.defect != Defect::ignoresClaims;
-    if (!overtaken && !promisedElse && !isDecided(put.version)) {
+    if (!overtaken && !promisedHigher && !isDecided(put.version)) {
         value_ = m.value;
         promiseClaim(put.version, put.ballot);
         forgetClaims(put.version);
-        back.granted = true;
+        reply.granted = true;
     }
-    back.version = put.version;
-    back.ballot = promisedBallot(put.version);
-    sendAfterSync(from, std::move(back));
+    reply.version = put.version;
+    reply.ballot = promisedBallot(put.version);
+    sendAfterSync(from, std::move(reply));
 }
 
 void Core::handleGet(const NodeId& from, const Message& m) {
     if (!isMember()) return;
-    Message back = makeMessage(MessageKind::registerReply, m.requestId);
-    back.ballot = value_ ? promisedBallot(value_->version) : 0;
-    sendAfterSync(from, std::move(back));
+    Message reply = makeMessage(MessageKind::registerReply, m.requestId);
+    reply.ballot = value_ ? promisedBallot(value_->version) : 0;
+    sendAfterSync(from, std::move(reply));
 }
 
-// What is chosen, and what is accepted here where that is another: either may be what is asked for.
+// Sends the chosen value, and the accepted one if it differs: either may be the one wanted.
 void Core::handleFetch(const NodeId& to, const Message& m) {
-    Message back = makeMessage(MessageKind::value);
-    addVotersTo(back);
+    Message reply = makeMessage(MessageKind::value);
+    addVotersTo(reply);
     if (chosen_ && m.chosenValue.version < chosenHeader_.version) {
-        back.value = chosen_;
-        send(to, back);
+        reply.value = chosen_;
+        send(to, reply);
     }
     if (value_ && m.syncedValue < headerOf(value_) && !isSameContent(headerOf(value_), chosenHeader_)) {
-        back.value = value_;
-        send(to, std::move(back));
+        reply.value = value_;
+        send(to, std::move(reply));
     }
 }
 
@@ -187,13 +190,14 @@
 }
 
 void Core::fetchValue(Instant now, const NodeId& from) {
-    if (from == options_.self || now < lastFetchAt_ + Span::millis(250)) return;  // a body may need that long
+    if (from == options_.self || now < lastFetchAt_ + Span::millis(250))
+        return;  // a body may take that long to arrive
     lastFetchAt_ = now;
     send(from, makeMessage(MessageKind::fetch));
 }
 
-// What others hold: what is chosen is taken from them, what is not yet (its writer may have died) is looked
-// at by a read, after a while in which the writer itself may finish.
+// Learns what another core holds. A chosen value is fetched; for an undecided one, whose writer may have
+// died, a read is scheduled after a delay in which the writer may still finish.
 void Core::learnHeaders(Instant now, const NodeId& from, const Message& m) {
     if (from == options_.self) return;
     peers_[from].syncedValue = m.syncedValue;
@@ -209,7 +213,7 @@
         settleReadAt_ = now + options_.heartbeatInterval * 2 + randomSpan(options_.heartbeatInterval * 4);
 }
 
-// ---- writes and reads that were begun here
+// // ---- writes and reads begun by this core
 
 void Core::write(Instant now, uint64_t ticket, std::shared_ptr<const Value> v) {
     beginInput(now);
@@ -227,17 +231,17 @@
     endInput(now);
 }
 
-void Core::startOperation(Instant now, uint64_t ticket, bool wanted, bool reading,
-                          std::shared_ptr<const Value> own) {
+void Core::startOperation(Instant now, uint64_t ticket, bool hasCaller, bool reading,
+                          std::shared_ptr<const Value> requested) {
     Operation op;
     op.ticket = ticket;
-    op.hasCaller = wanted;
+    op.hasCaller = hasCaller;
     op.since = now;
     if (reading) {
         op.step = Operation::Step::reading;
     } else {
-        op.requested = own;
-        op.proposal = std::move(own);
+        op.requested = requested;
+        op.proposal = std::move(requested);
         op.step = Operation::Step::claiming;
     }
     operations_.emplace(++lastRequestId_, std::move(op));
@@ -249,26 +253,26 @@
     }
 }
 
-// True: the operation is over.
+// Returns true if the operation is finished.
 bool Core::advanceOperation(Instant now, uint64_t requestId, Operation& op) {
-    // Checked before anything is counted: an answer of a disk that was lost meanwhile must not count, see
-    // recoveryDelay. It catches our own freezes too.
+    // Checked before any reply is counted: a reply of a disk that was lost meanwhile must not count, see
+    // recoveryDelay. This also covers freezes of our own process.
     if (now - op.since > options_.operationTimeout) {
         if (op.hasCaller)
             outputs_.push_back(OperationResult{op.ticket, OperationResult::noMajority, nullptr, {}});
         return true;
     }
     if (state_.voters.empty() || now < op.pausedUntil) return false;
-    // Chosen meanwhile, by whomever: what remains is to hear so from a majority.
+    // Decided meanwhile by any writer: only a read from a majority remains.
     if (op.step != Operation::Step::reading && isDecided(op.proposal->version))
         restartReading(now, op, markOvertaken(op));
     if (op.step == Operation::Step::reading && stepReading(now, op)) return true;
     if (op.step == Operation::Step::claiming) stepClaiming(now, op);
     if (op.step == Operation::Step::putting && op.grants.size() >= majority()) {
-        // `chosen` before anybody is told: what is told is told of the newest that is known.
-        const bool news = op.proposal->version > chosenHeader_.version;
+        // Learned before any message is built, since messages carry the newest known chosen value.
+        const bool isNew = op.proposal->version > chosenHeader_.version;
         learnChosen(op.proposal);
-        if (news) sendToPeers(makeMessage(MessageKind::committed));
+        if (isNew) sendToPeers(makeMessage(MessageKind::committed));
         finishOperation(op, op.proposal);
         return true;
     }
@@ -278,10 +282,10 @@
 
 void Core::finishOperation(const Operation& op, const std::shared_ptr<const Value>& chosen) {
     if (!op.hasCaller) return;
-    const bool lost = op.requested && chosen && chosen->version == op.requested->version &&
-                      chosen->digest != op.requested->digest;
-    outputs_.push_back(
-        OperationResult{op.ticket, lost ? OperationResult::conflict : OperationResult::done, chosen, {}});
+    const bool isConflict = op.requested && chosen && chosen->version == op.requested->version &&
+                            chosen->digest != op.requested->digest;
+    outputs_.push_back(OperationResult{
+        op.ticket, isConflict ? OperationResult::conflict : OperationResult::done, chosen, {}});
 }
 
 void Core::beginStep(Operation& op, Operation::Step step, Instant from) {
@@ -295,13 +299,13 @@
     op.resendPause = Span::millis(200);
 }
 
-// True: what was asked for is known to be chosen, and told.
+// Returns true if the value is known to be chosen and the result was emitted.
 bool Core::stepReading(Instant now, Operation& op) {
     if (op.headers.size() < majority()) return false;
     ValueHeader highest;
     for (const auto& [node, header] : op.headers) highest = std::max(highest, header);
     const bool overtakes = op.requested && op.requested->version > highest.version;
-    if (overtakes) {  // what we heard of is gone with the disk that held it, and was never chosen
+    if (overtakes) {  // the newer version was lost with its disk and never chosen
         op.proposal = op.requested;
         beginStep(op, Operation::Step::claiming, now);
         return false;
@@ -319,9 +323,9 @@
     const std::shared_ptr<const Value> text = findValue(now, op, highest);
     if (!text) return false;
     if (chosen || options_.defect == Defect::noWriteBack) {
-        const bool news = highest.version > chosenHeader_.version;
+        const bool isNew = highest.version > chosenHeader_.version;
         if (chosen) learnChosen(text);
-        if (chosen && news) sendToPeers(makeMessage(MessageKind::committed));
+        if (chosen && isNew) sendToPeers(makeMessage(MessageKind::committed));
         finishOperation(op, text);
         return true;
     }
@@ -336,7 +340,8 @@
     return false;
 }
 
-// The text of a mark, from our own disk or from whoever told of it; null: asked for.
+// The value of this header, if known here; otherwise null, and it is fetched from the voters that reported
+// it.
 std::shared_ptr<const Value> Core::findValue(Instant now, Operation& op, const ValueHeader& header) {
     for (const auto& candidate : {chosen_, value_, op.requested, op.proposal, op.fetched}) {
         if (candidate && isSameContent(headerOf(candidate), header)) return candidate;
@@ -366,11 +371,11 @@
     op.proposal = std::move(put);
 }
 
-// Looks whether the version was decided, or another writer has finished, before it is claimed again. Against
-// two that outbid each other, and against a member that holds a higher version which the fastest majority
-// does not know: to ask and to claim in turn without a pause sends as many messages as the links carry, and
-// each late answer to a former claim begins one more round (schedule 330848 of replacement_test). Harm: a
-// writer that is overtaken twice by what is not chosen waits for 25 to 425 ms.
+// Reads again before the next claim, in case the version was decided or another writer has finished. Without
+// a pause, two writers that outbid each other, or a member with a higher version unknown to the fastest
+// majority, would make reads and claims alternate as fast as the links carry them, and each late reply to a
+// former claim would begin one more round (schedule 330848 of replacement_test). Drawback: a writer that is
+// overtaken twice by undecided values waits for 25 to 425 ms.
 void Core::restartReading(Instant now, Operation& op, bool pauses) {
     if (!pauses) return beginStep(op, Operation::Step::reading, now);
     op.outbidCount = std::min(op.outbidCount + 1, kMaxOutbidDoublings);
@@ -378,13 +383,13 @@
               now + kOutbidPause + randomSpan(kOutbidPause * (1 << op.outbidCount)));
 }
 
-// Whether the operation was overtaken before; from now on it was.
+// Marks the operation as overtaken and returns whether it already was.
 bool Core::markOvertaken(Operation& op) const {
     return std::exchange(op.overtaken, true) && options_.defect != Defect::retriesWithoutPause;
 }
 
-// An answer to get, claim or put. One of an earlier step may come late: it says what its sender holds, and
-// counts in no majority.
+// A reply to get, claim or put. A late reply to an earlier step only reports its sender's value and counts in
+// no majority.
 void Core::handleRegisterReply(Instant now, const NodeId& from, const Message& m) {
     const auto it = operations_.find(m.requestId);
     if (it == operations_.end() || !isVoter(from)) return;
--- a/system/consensus/register_test.cpp
+++ b/system/consensus/register_test.cpp
@@ -1,5 +1,5 @@
-// Single steps of the register that a schedule found by chance may miss: each of these fails without the
-// defence that it names.
+// Scripted steps of the register that random schedules may miss. Each test fails without the safeguard that
+// it names.
 #include <gtest/gtest.h>
 
 #include "system/consensus/core.hpp"
@@ -11,7 +11,7 @@
 
 Instant ms(int64_t n) { return Instant::atMicros(1000000 + n * 1000); }
 
-// One core of three, whose disk is synced at once; what it sends is kept.
+// One core of three whose saves succeed at once; records what it sends.
 class RegisterTest : public ::testing::Test {
   protected:
     void start(std::optional<DurableState> disk) {
@@ -20,7 +20,7 @@
         o.seeds = {a, b, c};
         core_ = std::make_unique<Core>(ms(0), o, std::move(disk));
         drain();
-        hear(b, of(MessageKind::helloReply));  // our disk is not old
+        hear(b, of(MessageKind::helloReply));  // confirms that our disk was not rolled back
     }
     static DurableState disk(int64_t version = 0, uint64_t ballot = 0) {
         DurableState d;
@@ -60,7 +60,7 @@
             if (auto* answer = std::get_if<OperationResult>(&*o)) answers_.push_back(*answer);
         }
     }
-    // The newest message of this kind, and how many there were.
+    // The newest sent message of this kind, and the number of them.
     Message last(MessageKind kind) const {
         for (auto s = sent_.rbegin(); s != sent_.rend(); ++s)
             if (s->message.kind == kind) return s->message;
@@ -77,12 +77,12 @@
     std::vector<OperationResult> answers_;
 };
 
-// A proposer that lost what it had in mind may draw the same ballot again, for another text.
+// A proposer that has lost its state may use the same ballot again for another value.
 TEST_F(RegisterTest, PromisesABallotToOneRequestOnly) {
     start(disk());
     hear(b, ofVersion(MessageKind::claim, 10, 5, 100));
     EXPECT_TRUE(last(MessageKind::claimReply).granted);
-    hear(b, ofVersion(MessageKind::claim, 10, 5, 100));  // sent twice
+    hear(b, ofVersion(MessageKind::claim, 10, 5, 100));  // a duplicate
     EXPECT_TRUE(last(MessageKind::claimReply).granted);
     hear(b, ofVersion(MessageKind::claim, 11, 5, 100));
     EXPECT_FALSE(last(MessageKind::claimReply).granted);
@@ -97,7 +97,8 @@
     EXPECT_TRUE(last(MessageKind::registerReply).granted);
 }
 
-// The writer was outbid and claims again: a late promise for its first ballot does not count for its second.
+// After a writer was outbid and has claimed again, a late promise for its first ballot does not count for the
+// second.
 TEST_F(RegisterTest, APromiseCountsForItsOwnBallotOnly) {
     start(disk());
     core_->write(ms(now_), 1, std::make_shared<const Value>(Value{5, 1, "text"}));
@@ -122,7 +123,8 @@
     EXPECT_GT(count(MessageKind::put), 0);
 }
 
-// A disk that was rebuilt holds what it might have refused: its promise stands above what it holds.
+// A rebuilt disk may hold a value that it should have refused: its promised ballot is higher than the
+// accepted one.
 TEST_F(RegisterTest, ValuesBelowAPromiseDoNotFormAMajority) {
     for (const uint64_t promised : {3, 4}) {
         sent_.clear(), answers_.clear();
@@ -137,8 +139,7 @@
     }
 }
 
-// What is known to be chosen does not take the place of a higher version that was accepted and may be chosen
-// too.
+// A chosen value does not replace an accepted higher version, which may be chosen as well.
 TEST_F(RegisterTest, AChosenValueDoesNotReplaceAHigherVersion) {
     start(disk(9, 3));
     Message chosen = of(MessageKind::value);
@@ -149,7 +150,7 @@
     EXPECT_EQ(last(MessageKind::registerReply).syncedValue.version, 9);
 }
 
-// A lost disk is rebuilt with what the others have promised, not only with what they hold.
+// A lost disk is rebuilt with the promises of the others, not only with their values.
 TEST_F(RegisterTest, ARebuiltDiskKeepsThePromisesOfTheOthers) {
     start(std::nullopt);
     Message hello = of(MessageKind::helloReply);
@@ -170,9 +171,9 @@
     EXPECT_TRUE(last(MessageKind::registerReply).granted);
 }
 
-// One member holds a higher version that is not chosen and answers claims first; the others are first to say
-// what they hold. The writer may ask and claim in turn until its time is over, but not as often as messages
-// go.
+// One member holds a higher, undecided version and answers claims first, while another one answers reads
+// first. The writer may alternate between reading and claiming until its timeout, but only with pauses, not
+// at the rate of the messages.
 TEST_F(RegisterTest, ARepeatedlyOvertakenWriterPauses) {
     start(disk(4, kChosenBallot));
     core_->write(ms(now_), 1, std::make_shared<const Value>(Value{5, 1, "mine"}));
--- a/system/consensus/replacement.cpp
+++ b/system/consensus/replacement.cpp
@@ -1,16 +1,18 @@
-// Replacement of members that are gone, without an operator.
+// Automatic replacement of absent voters by standbys.
 //
-// The number of voters stays as it is. A core whose disk may count and that is no voter is a standby: it
-// learns the voters and the value like everybody, holds both on its disk, and is counted nowhere. The holder
-// of the lease gives it the place of a voter that has not been heard for Options::absence, or that says that
-// it leaves. A voter that was only cut off or paused comes back as a standby that holds its data; the next
-// place that falls free may be its own. So a wrong suspicion costs one change and no copy. Why not grow first
-// and shrink later: four voters bear one loss as three do, but three of them are needed to rebuild a lost
-// disk; between the two changes a second loss would find too few. Without a standby nothing changes, however
-// long a voter is silent: fewer voters bear fewer losses.
+// The number of voters stays constant. A core that may vote but is not a voter is a standby: it learns the
+// voters and the value like every core and keeps both on its disk, but counts in no majority. The lease
+// holder lets it replace a voter that has been silent for Options::absenceTimeout or that announces its
+// shutdown. A voter that was only cut off or paused returns as a standby with its data and may fill the next
+// vacancy, so a wrong suspicion costs one change and no copy.
 //
-// Only the holder begins: it alone has heard a majority within the last lease time, and one proposer needs no
-// second ballot. The decision itself is made by a majority of the present voters, whoever began it.
+// Voters are not added first and removed later: four voters tolerate one loss, as three do, but three of them
+// are needed to rebuild a lost disk, so between the two changes a second loss would leave too few. Without a
+// standby nothing changes, however long a voter is silent, since fewer voters tolerate fewer losses.
+//
+// Only the lease holder begins a replacement: it alone has heard from a majority within the last
+// leaseDuration, and with one proposer no ballot is outbid. The change itself is decided by a majority of the
+// current voters, whoever proposed it.
 #include "system/consensus/core_internal.hpp"
 
 namespace petrelpond::consensus {
@@ -18,8 +20,8 @@
 void Core::noteSender(Instant now, const NodeId& from, const Message& m) {
     if (from == options_.self) return;
     Peer& peer = peers_[from];
-    // A disk that was lost begins anew. What was remembered before of one that went back stays: it must be
-    // told so.
+    // A replaced disk has a new id and starts its count again. For a disk that was restored to an earlier
+    // state the higher count is kept, since that core must be told of it.
     const bool another = peer.diskId != m.diskId;
     peer.saveCount = another ? m.saveCount : std::max(peer.saveCount, m.saveCount);
     peer.diskId = m.diskId;
@@ -29,11 +31,11 @@
     peer.leaving = m.leaving;
     peer.diskBroken = m.diskBroken;
     peer.epoch = m.epoch;
-    // Not only at the next heartbeat: the machine may be gone by then.
+    // Not only at the next heartbeat: the machine may be down by then.
     if (leavesNow && lease_.held) replaceAbsentVoter(now);
 }
 
-// Heard so lately that it would take part in a change now.
+// Whether the node was heard from recently enough to take part in a change now.
 bool Core::isReachable(Instant now, const NodeId& node) const {
     const auto it = peers_.find(node);
     return it != peers_.end() && now - it->second.heardAt <= options_.absenceTimeout * 0.75;
@@ -56,15 +58,15 @@
 }
 
 std::vector<NodeId> Core::standbys(Instant now) const {
-    std::vector<NodeId> fit;
+    std::vector<NodeId> candidates;
     for (const auto& [node, peer] : peers_) {
         if (isVoter(node) || !peer.saidHello || !peer.mayVote || peer.leaving || peer.diskBroken) continue;
-        // With a value on its disk it lacks little of what the others hold, and has that in one message. Not
-        // the newest is asked for: while changes follow one another what it said last is always older.
+        // A standby with any value on its disk needs only one message to catch up. The newest value is not
+        // required: while writes follow one another, its last report is always older.
         const bool holds = peer.syncedValue.version > 0 || chosenHeader_.version == 0;
-        if (holds && isReachable(now, node)) fit.push_back(node);
+        if (holds && isReachable(now, node)) candidates.push_back(node);
     }
-    return fit;
+    return candidates;
 }
 
 bool Core::isBehind(Instant now, const NodeId& voter) const {
@@ -74,58 +76,59 @@
     return answers && it->second.epoch != state_.epoch;
 }
 
-// The first voter whose place is free; null: none, or the change before this one is not taken over yet.
+// The first absent voter; null if there is none, or if the previous change has not been taken over yet.
 const NodeId* Core::findAbsentVoter(Instant now) {
-    const NodeId* gone = nullptr;
+    const NodeId* firstAbsent = nullptr;
     for (const NodeId& voter : state_.voters) {
         const bool absent = isAbsent(now, voter);
-        // Against a second change before the first is taken over: until then a member that is here may still
-        // be needed to tell the others. Harm: waits for a member that does not get on. One that has missed
-        // some heartbeats is not waited for: it may be dead, which is sure only after Options::absence, and
-        // the next loss would come before that (schedule 303442 of replacement_test).
+        // No second change begins before the first is taken over: until then a reachable member may still be
+        // needed for the recovery of the others. Drawback: waits for a member that makes no progress. A
+        // member that has missed some heartbeats is not waited for: it may be dead, which is certain only
+        // after Options::absenceTimeout, and the next loss could come before that (schedule 303442 of
+        // replacement_test).
         const bool behind = !absent && isBehind(now, voter);
         if (behind && options_.defect != Defect::overlapsChanges) return nullptr;
-        if (absent && !gone) gone = &voter;
+        if (absent && !firstAbsent) firstAbsent = &voter;
     }
-    return gone;
+    return firstAbsent;
 }
 
-// Against a successor that is itself gone: one that ended a second ago still counts as heard, and its word
-// that it leaves may be lost or overtaken by an older message. With it on the voters the next loss takes the
-// majority (schedules 30029 and 31607 of replacement_test). So a standby has the place only after it has
-// answered a question that was asked since the place fell free. It harms by one round trip, without a sync.
+// A standby is promoted only after it has answered a probe sent since the vacancy arose. Otherwise the
+// successor might be down itself: a core that ended a second ago still counts as reachable, and its
+// announcement may be lost or overtaken by an older message. With it among the voters the next loss takes the
+// majority away (schedules 30029 and 31607 of replacement_test). Drawback: one round trip, without a sync.
 void Core::replaceAbsentVoter(Instant now) {
     if (pendingChange_ || !isMember() || options_.defect == Defect::neverReplaces) return;
-    const NodeId* gone = findAbsentVoter(now);
-    const std::vector<NodeId> fit = gone ? standbys(now) : std::vector<NodeId>{};
-    if (fit.empty()) {
+    const NodeId* absentVoter = findAbsentVoter(now);
+    const std::vector<NodeId> candidates = absentVoter ? standbys(now) : std::vector<NodeId>{};
+    if (candidates.empty()) {
         vacancyProbe_ = 0;
-        if (!gone || options_.defect != Defect::dropsSilentVoters) return;
-        pendingChange_ = makeVotersChange(now, {*gone}, {});
+        if (!absentVoter || options_.defect != Defect::dropsSilentVoters) return;
+        pendingChange_ = makeVotersChange(now, {*absentVoter}, {});
         return proposeVotersChange(now);
     }
-    const auto answered = std::find_if(fit.begin(), fit.end(), [&](const NodeId& n) {
+    const auto answered = std::find_if(candidates.begin(), candidates.end(), [&](const NodeId& n) {
         return options_.defect == Defect::trustsStaleStandby ||
                (vacancyProbe_ != 0 && peers_[n].answeredProbe == vacancyProbe_);
     });
-    if (answered != fit.end()) {
+    if (answered != candidates.end()) {
         vacancyProbe_ = 0;
-        pendingChange_ = makeVotersChange(now, {*gone}, {*answered});
+        pendingChange_ = makeVotersChange(now, {*absentVoter}, {*answered});
         return proposeVotersChange(now);
     }
     if (vacancyProbe_ == 0) vacancyProbe_ = ++lastRequestId_;
     proposeAt_ = std::min(proposeAt_, now + options_.heartbeatInterval * kRetryHeartbeats);
-    for (const NodeId& n : fit) sendHello(n, MessageKind::hello, vacancyProbe_);
+    for (const NodeId& n : candidates) sendHello(n, MessageKind::hello, vacancyProbe_);
 }
 
 std::vector<MemberState> Core::members(Instant now) const {
-    const std::vector<NodeId> fit = standbys(now);
+    const std::vector<NodeId> candidates = standbys(now);
     const auto stateOf = [&](const NodeId& node) {
         MemberState state;
         state.node = node;
         state.isVoter = isVoter(node);
         state.catchingUp = state.isVoter && !hasTakenOver(node);
-        state.standby = std::find(fit.begin(), fit.end(), node) != fit.end();
+        state.standby = std::find(candidates.begin(), candidates.end(), node) != candidates.end();
         state.suspected = state.isVoter && node != options_.self && isAbsent(now, node);
         const auto it = peers_.find(node);
         state.leaving = node == options_.self ? leaving_ : it != peers_.end() && it->second.leaving;
@@ -145,10 +148,10 @@
 }
 
 int Core::lossesLeft(Instant now) const {
-    const auto whole = std::count_if(state_.voters.begin(), state_.voters.end(), [&](const NodeId& n) {
+    const auto caughtUp = std::count_if(state_.voters.begin(), state_.voters.end(), [&](const NodeId& n) {
         return hasTakenOver(n) && (n == options_.self || !isAbsent(now, n));
     });
-    return static_cast<int>(whole) - static_cast<int>(majority());
+    return static_cast<int>(caughtUp) - static_cast<int>(majority());
 }
 
 int Core::lostVoterCount(Instant now) const {
@@ -166,8 +169,8 @@
     });
 }
 
-// Against a core that was away for so long that all it knew are gone and have been forgotten by their
-// successors, which have forgotten it too: the settings are written anew before long, and name others.
+// For a core that was away for so long that all cores it knew were replaced, and that their successors have
+// forgotten as well: updated settings name current cores.
 void Core::addPeers(Instant now, const std::vector<NodeId>& cores) {
     beginInput(now);
     for (const NodeId& node : cores) {
@@ -183,7 +186,7 @@
 
 bool Core::mayLeave(Instant now) const {
     if (state_.voters.empty() || diskBroken_ || options_.defect == Defect::leavesWithoutHandover) return true;
-    if (!selfIsVoter()) {  // replaced: we may be needed to tell what we know until a majority has taken over
+    if (!selfIsVoter()) {  // replaced, but needed for recovery until a majority has taken over
         const auto done = std::count_if(state_.voters.begin(), state_.voters.end(),
                                         [this](const NodeId& n) { return hasTakenOver(n); });
         return static_cast<size_t>(done) >= majority();
--- a/system/consensus/replacement_test.cpp
+++ b/system/consensus/replacement_test.cpp
@@ -1,4 +1,4 @@
-// Members that are gone are replaced without an operator, and second losses around that forget nothing.
+// Absent voters are replaced automatically, and further losses around a replacement lose nothing.
 #include <gtest/gtest.h>
 
 #include <cstdlib>
@@ -38,7 +38,7 @@
     return outcome;
 }
 
-// CONSENSUS_SCHEDULES=2000 for a long search, CONSENSUS_FIRST to begin elsewhere.
+// CONSENSUS_SCHEDULES sets the number of schedules (2000 for a long search), CONSENSUS_FIRST the first seed.
 TEST(Replacement, NoScheduleOfLossesBreaksAnInvariant) {
     const uint32_t begin = numberFromEnvironment("CONSENSUS_FIRST", 1),
                    count = numberFromEnvironment("CONSENSUS_SCHEDULES", 100);
@@ -69,12 +69,13 @@
     }
     return -1;
 }
-// A standby that started anew knows by its disk which text was chosen, and asked a majority that had accepted
-// it under ballots that differ: it claimed the version, saw that it was decided, and asked again, for ever.
+// Guards against an endless loop: a restarted standby knew the chosen value from its disk, but read from a
+// majority that had accepted it under different ballots. It claimed the version, saw that it was decided and
+// read again, without end.
 TEST(Replacement, ANewStandbyThatSettlesAVersionSendsBoundedMessages) {
     constexpr uint32_t kSchedule = 330848;
     EXPECT_EQ(runSchedule(kSchedule, Defect::none).broken, "");
-    EXPECT_NE(runSchedule(kSchedule, Defect::retriesWithoutPause).broken.find("messages multiply"),
+    EXPECT_NE(runSchedule(kSchedule, Defect::retriesWithoutPause).broken.find("too many messages sent"),
               std::string::npos);
 }
 
@@ -114,7 +115,7 @@
     return World::contains(w.voterSets_.rbegin()->second, w.nodes_[i].id);
 }
 
-// The successor counts, and the machine that is gone does not, well before the successor's time is over.
+// The successor is a voter and the removed machine is not, well within the successor's time to catch up.
 TEST(Replacement, ASuccessorBecomesAVoterWithinTheCatchUpTime) {
     for (const bool holder : {true, false}) {
         World w(calmPlan(3, 1, 1));
@@ -141,8 +142,8 @@
     }
 }
 
-// A cut of twenty seconds where there is a standby: the member is replaced, and comes back as the standby,
-// which has the next place that falls free.
+// A voter that is cut off for twenty seconds is replaced by the standby, returns as a standby itself and
+// fills the next vacancy.
 TEST(Replacement, AnIsolatedVoterReturnsAsAStandby) {
     World w(calmPlan(3, 1, 1));
     startSparesAt(w, {{7000, 3}});
@@ -167,7 +168,7 @@
     EXPECT_EQ(w.run(), "");
 }
 
-// Without anybody to take the place the voters stay as they are, however long a member is silent.
+// Without a standby the voters stay the same, however long one of them is silent.
 TEST(Replacement, NoVoterIsDroppedWithoutAStandby) {
     World w(calmPlan(5, 1, 0));
     w.at(World::millis(10000), [&] { w.kill(4); });
@@ -175,8 +176,8 @@
     EXPECT_EQ(w.run(), "");
 }
 
-// A member that leaves in order with a standby there goes on counting until its place is taken over; the next
-// loss may come in the instant after. One that ends at once leaves too few for it.
+// A voter that shuts down in order keeps acting as a voter until a standby has replaced it, so the next loss
+// may follow at once. If it ended immediately, too few voters would be left for that loss.
 std::string leaveThenLoseDisk(Defect defect) {
     sim::Plan plan = calmPlan(3, 1, 1);
     plan.defect = defect;
@@ -207,7 +208,8 @@
     EXPECT_NE(leaveThenLoseDisk(Defect::leavesWithoutHandover), "");
 }
 
-// One that is not the holder is told to end, and has a tenth of a second, at any point of the heartbeat.
+// A voter that is not the holder is told to shut down and has only 100 ms, at any point of the heartbeat
+// interval.
 TEST(Replacement, ALeavingVoterIsReplacedAtOnce) {
     for (int64_t offset = 0; offset < 150; offset += 15) {
         World w(calmPlan(3, 1, 1));
@@ -229,8 +231,8 @@
     }
 }
 
-// All machines of the first start are gone, and the settings of their successors still name them as seeds:
-// after a loss of power the successors find one another from their disks.
+// All seeds were replaced, and the settings of their successors still name them: after a power loss the
+// successors find each other from their disks.
 TEST(Replacement, RecoversFromPowerLossAfterAllSeedsWereReplaced) {
     World w(calmPlan(3, 1, 3));
     startSparesAt(w, {{7000, 3}, {12000, 4}, {17000, 5}});
@@ -246,7 +248,7 @@
     EXPECT_EQ(w.run(), "");
 }
 
-// Machines that were replaced are neither tried nor told of for ever.
+// Replaced machines are not contacted or announced forever.
 TEST(Replacement, RemovedMachinesAreForgotten) {
     sim::Plan plan = calmPlan(3, 1, 3);
     plan.seconds = 180;
@@ -257,21 +259,21 @@
         w.at(World::millis(10000 + 5000 * static_cast<int64_t>(i)), [&w, i] { removeForGood(w, i); });
     w.at(World::millis(30000), [&w] {
         const auto known = w.nodes_[5].core->peers();
-        EXPECT_TRUE(World::contains(known, w.nodes_[1].id));  // still: it may come back
+        EXPECT_TRUE(World::contains(known, w.nodes_[1].id));  // not yet forgotten: it may return
     });
     w.at(World::millis(170000), [&w] {
         for (size_t i = 3; i < 6; ++i) {
             const auto known = w.nodes_[i].core->peers();
             EXPECT_FALSE(World::contains(known, w.nodes_[0].id));
             EXPECT_FALSE(World::contains(known, w.nodes_[1].id));
-            EXPECT_EQ(known.size(), 3u);  // the seed that is gone, and the two others
+            EXPECT_EQ(known.size(), 3u);  // the dead seed and the two other cores
         }
     });
     EXPECT_EQ(w.run(), "");
 }
 
-// One that was cut off while all that it knew were replaced, and forgotten by their successors, finds them as
-// soon as its settings name one.
+// A core that was cut off while all cores it knew were replaced, and that their successors have forgotten,
+// rejoins as soon as its settings name one of them.
 TEST(Replacement, ACoreIsolatedThroughAllReplacementsReturnsWithNewSettings) {
     sim::Plan plan = calmPlan(3, 1, 4);
     plan.seconds = 220;
@@ -297,7 +299,8 @@
     EXPECT_EQ(w.run(), "");
 }
 
-// It is unknown to the others and changes nothing; with a seed that lives it has the place that is free.
+// A new core with only dead seeds is unknown to the others and changes nothing; with a live seed it fills the
+// vacancy.
 TEST(Replacement, ANewCoreWithDeadSeedsIsHarmlessAndJoinsWithALiveSeed) {
     World w(calmPlan(3, 1, 1));
     w.seedOverrides_[3] = {"10.9.9.1", "10.9.9.2", "10.9.9.3"};
@@ -325,7 +328,7 @@
     EXPECT_EQ(w.run(), "");
 }
 
-// At any instant of the change, which takes from 2 s to 2.3 s after the loss.
+// Covers every instant of the change, which takes place 2 s to 2.3 s after the loss.
 TEST(Replacement, AStandbyThatLosesItsDiskDuringTheChangeStillRecovers) {
     for (int64_t after = 1900; after < 2500; after += 20) {
         World w(calmPlan(5, 2, 1));
@@ -348,7 +351,7 @@
     }
 }
 
-// Two standbys, of which the first ends unseen a moment before a place falls free: the other one has it.
+// Of two standbys the first ends unnoticed just before a vacancy arises: the other one must fill it.
 std::string voterAfterAStandbyEnded(Defect defect) {
     sim::Plan plan = calmPlan(3, 1, 2);
     plan.defect = defect;
@@ -377,8 +380,8 @@
     EXPECT_EQ(voterAfterAStandbyEnded(Defect::trustsStaleStandby), "10.0.0.4");
 }
 
-// The first questions, or the first answers, of the ballot are lost: asked again at once, not after the whole
-// time that a ballot may take, for the member that leaves is only waited for so long.
+// The first requests or replies of a ballot are lost: they must be resent at once, not after the timeout of
+// the ballot, as a leaving voter has limited time.
 bool handsOverInTime(MessageKind firstLost, Defect defect) {
     sim::Plan plan = calmPlan(3, 1, 1);
     plan.defect = defect;
@@ -408,8 +411,8 @@
     }
 }
 
-// A member that is heard and has not yet taken over the last change may still be needed: the next change
-// waits for it.
+// A reachable voter that has not taken over under the last change may still be needed: the next change waits
+// for it.
 uint64_t epochBeforeAllHaveTakenOver(Defect defect) {
     sim::Plan plan = calmPlan(5, 2, 2);
     plan.defect = defect;
--- a/system/consensus/world_for_test.hpp
+++ b/system/consensus/world_for_test.hpp
@@ -1,4 +1,5 @@
-// Clients, troubles and a judge round a simulated cluster of Cores: all drawn by the plan's seed.
+// A simulated cluster of Cores with random clients, faults and invariant checks, all derived from the plan's
+// seed.
 #pragma once
 
 #include <algorithm>
@@ -17,7 +18,7 @@
   public:
     explicit World(const Plan& plan) : Cluster(plan) {}
 
-    // Nothing: all invariants held. Else what broke.
+    // Returns the broken invariant; empty if all held.
     std::string run() {
         const size_t first = static_cast<size_t>(plan_.cores);
         for (size_t i = 0; i < first; ++i) at(below(300) + 1, [this, i] { start(i, true); });
@@ -43,7 +44,8 @@
         runUntil(end);
         if (std::getenv("CONSENSUS_TRACE")) describe();
         if (!broken_.empty()) return broken_;
-        if (seedsLost_.size() > 1) return {};  // nobody may begin anew, see Core::beginAnew
+        if (seedsLost_.size() > 1)
+            return {};  // no core may restart the bootstrap, see Core::restartBootstrap
         if (plan_.clients && doneWrites_ - writesBeforeEnd_ < 3) return "no writes done after all has healed";
         if (plan_.clients && doneReads_ - readsBeforeEnd_ < 3) return "no reads done after all has healed";
         int holders = 0, recovering = 0;
@@ -54,7 +56,7 @@
         uint64_t epoch = 0;
         for (const Node& n : nodes_) epoch = std::max(epoch, n.core ? n.core->epoch() : 0);
         for (const Node& n : nodes_) {
-            if (n.core && n.core->epoch() != epoch) return "cores on two voterSets after all has healed";
+            if (n.core && n.core->epoch() != epoch) return "cores in different epochs after all has healed";
         }
         for (const Node& n : nodes_) {
             if (n.core && acknowledged_.version > 0 &&
@@ -91,7 +93,7 @@
         return voterSets_.empty() ? std::vector<NodeId>{} : voterSets_.begin()->second;
     }
 
-    // ---- clients: writers of rising versions and readers, at random cores
+    // // ---- clients: writes of rising versions, and reads, at random cores
     void runClient() {
         if (quiet_) return;
         const size_t i = anyNode();
@@ -102,8 +104,8 @@
                 const int64_t version = std::max<int64_t>(1, version_ - (chance(0.15) ? below(4) : 0));
                 const Value first = randomValue(version);
                 writeAt(i, first);
-                // Another operator at another core, at the same instant or soon: the same number with another
-                // text, or the same order once more.
+                // Another operator at another core, at the same instant or soon after: another value of the
+                // same version, or the same write again.
                 if (chance(0.2)) {
                     const Value second = chance(0.7) ? randomValue(version) : first;
                     at(chance(0.5) ? 1 : below(millis(300)), [this, second] { writeAt(anyNode(), second); });
@@ -152,7 +154,7 @@
             fail(std::string(reading ? "a read" : "a write") + " got " + std::to_string(got.version) +
                  " where " + std::to_string(wanted.version) + " was known before");
         }
-        // The text of a version is one for ever, whoever asks and whoever wrote.
+        // Each version has one value forever, at every core.
         if (got.version > 0) {
             const uint64_t told = texts_.emplace(got.version, got.digest).first->second;
             if (told != got.digest) fail("two texts under version " + std::to_string(got.version));
@@ -168,7 +170,7 @@
             fail("a body that was not sent under its number");
         }
         if (got.version > acknowledged_.version) acknowledged_ = got;
-        // The worst instant: whatever was acknowledged too early is gone now.
+        // The worst instant for a power loss: anything acknowledged too early is lost.
         if (plan_.faults && !healed_ && chance(0.01)) at(0, [this] { powerLoss(); });
         if (onAcknowledged_ && !healed_) onAcknowledged_();
         ++(reading ? doneReads_ : doneWrites_);
@@ -188,14 +190,14 @@
             const auto& core = nodes_[i].core;
             valid += core && core->lease().held && clock(i) < core->lease().validUntil;
         }
-        if (valid > 1) fail("two hold the duty at once");
+        if (valid > 1) fail("two cores hold the lease at once");
     }
     void checkVoters(size_t i) {
         const auto& voters = nodes_[i].core->voters();
         if (voters.empty()) return;
         const uint64_t epoch = nodes_[i].core->epoch();
         const auto& one = voterSets_.emplace(epoch, voters).first->second;
-        if (voters != one) fail("two voterSets in one epoch");
+        if (voters != one) fail("two sets of voters in one epoch");
         if (epoch > newestEpoch_ && std::getenv("CONSENSUS_TRACE")) {
             std::printf("%8.3f epoch %lu:", static_cast<double>(now_) / 1e6, epoch);
             for (const NodeId& n : voters) std::printf(" %s", n.c_str());
@@ -204,7 +206,7 @@
         if (epoch > newestEpoch_ && onVotersChange_) onVotersChange_(voterSets_[newestEpoch_], voters);
         newestEpoch_ = std::max(newestEpoch_, epoch);
     }
-    // One core leaves the voters, more often one that is away, and another comes; now and then two or none.
+    // Replaces a voter, preferably one that is down, by another core; sometimes two or none.
     void changeVoters() {
         if (healed_) return;
         const size_t i = static_cast<size_t>(below(static_cast<int64_t>(nodes_.size())));
@@ -231,14 +233,14 @@
         at(millis(200 + below(2500)), [this] { changeVoters(); });
     }
 
-    // ---- troubles
+    // // ---- faults
     void injectFault() {
         if (healed_) return;
         const size_t i = static_cast<size_t>(below(static_cast<int64_t>(nodes_.size())));
         if (plan_.isolatesHolder && chance(0.3)) isolateHolder();
         const int64_t kind = below(100);
         if (kind < 20) {
-            // Of one, or of any: a process that ends is often there again at once.
+            // Restarts one core or several; a process that ends is often back at once.
             const bool more = chance(0.3);
             const int64_t away = chance(0.4) ? 200 : 3000;
             for (size_t k = 0; k < nodes_.size(); ++k) {
@@ -289,25 +291,24 @@
             at(millis(below(2000)), [this, i] { start(i, false); });
         }
     }
-    // No more disks are away at a time than may be lost.
+    // Keeps the number of disks lost at a time within the tolerated losses.
     void loseDisk(size_t i, bool andAnother) {
         int away = 0;
         for (const Node& n : nodes_) away += n.diskLost;
         if (away >= plan_.losses || nodes_[i].diskLost) return;
-        // A member that has not taken the newest voters over yet is away like one that is down: it would be
-        // one more.
+        // A member that has not taken over under the newest voters yet counts as lost too.
         for (const Node& n : nodes_) {
             const bool on =
                 plan_.spares > 0 && !voterSets_.empty() && contains(voterSets_.rbegin()->second, n.id);
             if (on && (!n.core || n.core->isRecovering() || n.core->epoch() != newestEpoch_)) ++away;
         }
         if (away >= plan_.losses) return;
-        // A set of voters that was agreed on late, with too few on it, bears fewer.
+        // A set of voters that was agreed on late with too few members tolerates fewer losses.
         if (!voterSets_.empty() &&
             voterSets_.rbegin()->second.size() < 2 * static_cast<size_t>(plan_.losses) + 1)
             return;
-        // Two of three electors lost before there is a set of voters: that is not survived, see
-        // Core::beginAnew.
+        // Losing two of three electors before the voters are agreed is not survivable, see
+        // Core::restartBootstrap.
         if (voterSets_.empty() && plan_.losses > 1 && !plan_.losesSeedDisks) return;
         if (voterSets_.empty() && i < 3) seedsLost_.insert(i);
         if (chance(0.3)) powerLoss();
@@ -316,7 +317,7 @@
         nodes_[i].diskLost = true;
         ++disksLost_;
         at(millis(below(1500)), [this, i] { start(i, false); });
-        // As many at one blow as may be lost.
+        // As many at the same time as may be lost.
         if (andAnother) loseDisk(static_cast<size_t>(below(static_cast<int64_t>(nodes_.size()))), true);
     }
     void heal() {
@@ -330,22 +331,21 @@
         }
     }
 
-    static constexpr int64_t kQuietPeriodMillis =
-        2000;  // without changes, at the end: all must be level by then
+    static constexpr int64_t kQuietPeriodMillis = 2000;  // without writes at the end, for convergence
     bool quiet_ = false;
     bool healed_ = false;
     uint64_t ticket_ = 0;
     int64_t version_ = 0;
-    std::map<int64_t, uint64_t> texts_;  // by version: the digest that was told
+    std::map<int64_t, uint64_t> texts_;  // the reported digest of each version
     int conflicts_ = 0;
     Value acknowledged_;
     uint64_t lastTerm_ = 0;
     std::function<void(const std::vector<NodeId>& before, const std::vector<NodeId>& after)> onVotersChange_;
-    std::function<void()> onAcknowledged_;  // a write or a read has just been done
+    std::function<void()> onAcknowledged_;  // a write or a read has just been acknowledged
     std::map<uint64_t, std::vector<NodeId>> voterSets_;
     uint64_t newestEpoch_ = 1;
     std::set<uint64_t> changing_;
-    std::set<size_t> seedsLost_;  // before there was a set of voters
+    std::set<size_t> seedsLost_;  // before the voters were agreed
     int doneWrites_ = 0, doneReads_ = 0, writesBeforeEnd_ = 0, readsBeforeEnd_ = 0, disksLost_ = 0;
 };
 
--- a/system/control_plane/control_test.cpp
+++ b/system/control_plane/control_test.cpp
@@ -302,7 +302,7 @@
     EXPECT_EQ(put(configuration(7)).status, 200);
     Got got = call("POST", "/voters", R"({"gone":[")" + ip_ + R"("],"come":["127.9.9.9"]})");
     EXPECT_EQ(got.status, 409);
-    EXPECT_EQ(got.body, R"({"cause":"127.9.9.9 is not heard of as a core whose disk may count"})");
+    EXPECT_EQ(got.body, R"({"cause":"127.9.9.9 is not a known core that may become a voter"})");
     // What is in force already is told again, as after an answer that was lost.
     got = call("POST", "/voters", R"({"gone":["127.9.9.9"],"come":[")" + ip_ + R"("]})");
     EXPECT_EQ(got.status, 200);
