--- a/system/consensus/cluster_for_test.hpp
+++ b/system/consensus/cluster_for_test.hpp
@@ -53,18 +53,18 @@
     struct Node {
         NodeId id;
         std::unique_ptr<Core> core = nullptr;
-        int life = 0;
+        int incarnation = 0;
         std::optional<DurableState> disk = std::nullopt;
         int64_t clockOffset = 0;
         double clockDrift = 0;
         std::vector<SaveRequest> unsynced = {};
         int64_t frozenUntil = 0;
-        int64_t wakeSet = -1;
+        int64_t wakeScheduledAt = -1;
         bool diskRefusesWrites = false;  // writes fail
         int64_t diskHangsUntil = 0;      // writes complete no earlier
         bool diskLost = false;           // lost its disk and has not rebuilt it yet
         bool removed = false;            // permanently, or not started yet
-        int64_t wipedAt = 0;
+        int64_t lostAt = 0;
         // By ticket: whether it is a read, and the value that the result must reach.
         std::map<uint64_t, std::pair<bool, Value>> pendingTickets = {};
     };
@@ -110,9 +110,9 @@
         o.defect = plan_.defect;
         if (plan_.serviceTimings)
             o.heartbeatInterval = Span::millis(150), o.leaseDuration = Span::millis(700);
-        ++n.life;
+        ++n.incarnation;
         n.frozenUntil = 0;
-        n.wakeSet = -1;
+        n.wakeScheduledAt = -1;
         n.core = std::make_unique<Core>(clock(i), o, n.disk);
         drain(i);
     }
@@ -120,16 +120,17 @@
         Node& n = nodes_[i];
         if (!n.core) return;
         n.core.reset();
-        ++n.life;
+        ++n.incarnation;
         n.pendingTickets.clear();
         n.unsynced.clear();
     }
     // Runs f in the core's process, after the end of a freeze.
-    void runOn(size_t i, int life, std::function<void(Core&)> f) {
+    void runOn(size_t i, int incarnation, std::function<void(Core&)> f) {
         Node& n = nodes_[i];
-        if (n.life != life || !n.core) return;
+        if (n.incarnation != incarnation || !n.core) return;
         if (now_ < n.frozenUntil) {
-            at(n.frozenUntil - now_ + below(2000), [this, i, life, f = std::move(f)] { runOn(i, life, f); });
+            at(n.frozenUntil - now_ + below(2000),
+               [this, i, incarnation, f = std::move(f)] { runOn(i, incarnation, f); });
             return;
         }
         f(*n.core);
@@ -148,12 +149,12 @@
         const Instant wanted = n.core->nextWakeup();
         const bool near = wanted - clock(i) < Span::seconds(3600);
         const int64_t wake = now_ + (near ? std::max<int64_t>(1, until(i, wanted)) : millis(3600000));
-        if (n.wakeSet > now_ && n.wakeSet <= wake) return;
-        n.wakeSet = wake;
-        at(wake - now_, [this, i, life = n.life, wake] {
-            if (nodes_[i].life != life || nodes_[i].wakeSet != wake) return;
-            runOn(i, life, [this, i](Core& c) {
-                nodes_[i].wakeSet = -1;
+        if (n.wakeScheduledAt > now_ && n.wakeScheduledAt <= wake) return;
+        n.wakeScheduledAt = wake;
+        at(wake - now_, [this, i, incarnation = n.incarnation, wake] {
+            if (nodes_[i].incarnation != incarnation || nodes_[i].wakeScheduledAt != wake) return;
+            runOn(i, incarnation, [this, i](Core& c) {
+                nodes_[i].wakeScheduledAt = -1;
                 c.tick(clock(i));
             });
         });
@@ -180,7 +181,7 @@
             if (chance(loss_)) delay += below(millis(chance(0.2) ? 4000 : 600));
             at(delay, [this, from, to, message] {
                 if (cut_.count({from, to})) return;
-                runOn(to, nodes_[to].life, [this, from, to, message](Core& c) {
+                runOn(to, nodes_[to].incarnation, [this, from, to, message](Core& c) {
                     c.receive(clock(to), nodes_[from].id, *message);
                 });
             });
@@ -193,11 +194,11 @@
         int64_t delay = 300 + below(3000);
         if (chance(loss_)) delay += below(millis(300));
         delay += std::max<int64_t>(0, n.diskHangsUntil - now_);
-        at(delay, [this, i, token, life = n.life] {
+        at(delay, [this, i, token, incarnation = n.incarnation] {
             Node& m = nodes_[i];
-            if (m.life != life || !m.core) return;
+            if (m.incarnation != incarnation || !m.core) return;
             if (m.diskRefusesWrites) {
-                runOn(i, life, [this, i, token](Core& c) { c.handleSaveFailure(clock(i), token); });
+                runOn(i, incarnation, [this, i, token](Core& c) { c.handleSaveFailure(clock(i), token); });
                 return;
             }
             for (SaveRequest& s : m.unsynced) {
@@ -209,10 +210,10 @@
                 }
             }
             std::erase_if(m.unsynced, [&](const SaveRequest& s) { return s.token <= token; });
-            runOn(i, life, [this, i, token](Core& c) { c.handleSaved(clock(i), token); });
+            runOn(i, incarnation, [this, i, token](Core& c) { c.handleSaved(clock(i), token); });
         });
-        if (n.life != lifeOfToken_[i]) {
-            lifeOfToken_[i] = n.life;
+        if (n.incarnation != incarnationOfToken_[i]) {
+            incarnationOfToken_[i] = n.incarnation;
             syncedToken_[i] = 0;
         }
     }
@@ -235,7 +236,7 @@
 
   private:
     std::map<size_t, uint64_t> syncedToken_;
-    std::map<size_t, int> lifeOfToken_;
+    std::map<size_t, int> incarnationOfToken_;
 };
 
 }  // namespace petrelpond::consensus::sim
--- a/system/consensus/core_test.cpp
+++ b/system/consensus/core_test.cpp
@@ -53,7 +53,7 @@
     return m;
 }
 
-Message plain(MessageKind kind, uint64_t term = 0) {
+Message makeMessage(MessageKind kind, uint64_t term = 0) {
     Message m;
     m.kind = kind;
     m.requestId = 6;
@@ -64,7 +64,7 @@
 
 // Another voter knows no newer revision of our disk; from then on this core acts as a voter.
 void passRollbackCheck(Core& core) {
-    core.receive(ms(0), b, plain(MessageKind::helloReply));
+    core.receive(ms(0), b, makeMessage(MessageKind::helloReply));
     while (core.nextOutput()) {
     }
 }
@@ -124,8 +124,8 @@
     const auto saves = drainOutputs<SaveRequest>(core);
     ASSERT_EQ(saves.size(), 1u);
     core.handleSaveFailure(ms(2), saves[0].token);
-    core.receive(ms(3), b, plain(MessageKind::get));
-    core.receive(ms(4), b, plain(MessageKind::voteRequest, 9));
+    core.receive(ms(3), b, makeMessage(MessageKind::get));
+    core.receive(ms(4), b, makeMessage(MessageKind::voteRequest, 9));
     EXPECT_EQ(drainOutputs<SendRequest>(core).size(), 0u);
     std::vector<SaveRequest> again;
     int64_t at = 5;
@@ -136,7 +136,7 @@
     EXPECT_GT(at, 400);  // only after a pause
     ASSERT_EQ(again.size(), 1u);
     core.handleSaved(ms(at), again[0].token);
-    core.receive(ms(at + 1), b, plain(MessageKind::get));
+    core.receive(ms(at + 1), b, makeMessage(MessageKind::get));
     EXPECT_EQ(count(drainOutputs<SendRequest>(core), MessageKind::registerReply), 1);
 }
 
@@ -146,13 +146,13 @@
         EXPECT_TRUE(s.state.recovering);
         core.handleSaved(ms(1), s.token);
     }
-    Message hello = plain(MessageKind::helloReply);
+    Message hello = makeMessage(MessageKind::helloReply);
     hello.voters = hello.electors = {a, b, c};
     core.receive(ms(2), b, hello);
     core.receive(ms(3), b, put(7));
-    core.receive(ms(4), b, plain(MessageKind::get));
-    core.receive(ms(5), b, plain(MessageKind::voteRequest, 9));
-    core.receive(ms(6), b, plain(MessageKind::recoverRequest));
+    core.receive(ms(4), b, makeMessage(MessageKind::get));
+    core.receive(ms(5), b, makeMessage(MessageKind::voteRequest, 9));
+    core.receive(ms(6), b, makeMessage(MessageKind::recoverRequest));
     for (SaveRequest& s : drainOutputs<SaveRequest>(core)) core.handleSaved(ms(7), s.token);
     auto sends = drainOutputs<SendRequest>(core);
     for (const MessageKind k :
@@ -166,21 +166,21 @@
     core.tick(ms(1600));
     sends = drainOutputs<SendRequest>(core);
     ASSERT_EQ(count(sends, MessageKind::recoverRequest), 2);
-    Message tell = plain(MessageKind::recoverReply, 12);
+    Message reply = makeMessage(MessageKind::recoverReply, 12);
     for (const SendRequest& s : sends) {
-        if (s.message.kind == MessageKind::recoverRequest) tell.requestId = s.message.requestId;
+        if (s.message.kind == MessageKind::recoverRequest) reply.requestId = s.message.requestId;
     }
-    tell.granted = true;
-    tell.voters = {a, b, c};
-    tell.value = std::make_shared<const Value>(Value{8, 1, "newer"});
-    core.receive(ms(1601), b, tell);
-    core.receive(ms(1602), b, tell);  // a repeated reply counts once
-    tell.recovering = true;
-    core.receive(ms(1603), c, tell);  // a core that is recovering itself does not count
+    reply.granted = true;
+    reply.voters = {a, b, c};
+    reply.value = std::make_shared<const Value>(Value{8, 1, "newer"});
+    core.receive(ms(1601), b, reply);
+    core.receive(ms(1602), b, reply);  // a repeated reply counts once
+    reply.recovering = true;
+    core.receive(ms(1603), c, reply);  // a core that is recovering itself does not count
     EXPECT_TRUE(core.isRecovering());
     for (SaveRequest& s : drainOutputs<SaveRequest>(core)) core.handleSaved(ms(1604), s.token);
-    tell.recovering = false;
-    core.receive(ms(1605), c, tell);
+    reply.recovering = false;
+    core.receive(ms(1605), c, reply);
     EXPECT_FALSE(core.isRecovering());
     const auto saves = drainOutputs<SaveRequest>(core);
     ASSERT_EQ(saves.size(), 1u);
@@ -205,7 +205,7 @@
                 requestId = s->message.requestId;
         }
         ASSERT_NE(requestId, 0u);
-        Message held = plain(MessageKind::registerReply);
+        Message held = makeMessage(MessageKind::registerReply);
         held.requestId = requestId, held.syncedValue = {8, 0, 1}, held.epoch = 2;
         core.receive(ms(3), b, held);
         const bool done = !drainOutputs<OperationResult>(core).empty();
@@ -218,12 +218,12 @@
 TEST(Core, AfterAVotersChangeRecoversStateBeforeAnswering) {
     Core core(ms(0), options(a), durable(7));
     drainOutputs<SendRequest>(core);
-    Message hello = plain(MessageKind::helloReply);
+    Message hello = makeMessage(MessageKind::helloReply);
     hello.epoch = 2, hello.voters = {a, b, "10.0.0.4"}, hello.formerVoters = {a, b, c},
     hello.joinedDisks = {"10.0.0.4#9"};
     core.receive(ms(10), b, hello);
     core.receive(ms(11), c, put(9));  // under the former voters
-    Message get = plain(MessageKind::get);
+    Message get = makeMessage(MessageKind::get);
     get.epoch = 2;
     core.receive(ms(12), b, get);
     for (SaveRequest& s : drainOutputs<SaveRequest>(core)) core.handleSaved(ms(13), s.token);
@@ -231,12 +231,12 @@
     auto sends = drainOutputs<SendRequest>(core);
     EXPECT_EQ(count(sends, MessageKind::registerReply), 0);
     EXPECT_GT(count(sends, MessageKind::recoverRequest), 0);
-    Message tell = plain(MessageKind::recoverReply);
+    Message reply = makeMessage(MessageKind::recoverReply);
     for (const SendRequest& s : sends)
-        if (s.message.kind == MessageKind::recoverRequest) tell.requestId = s.message.requestId;
-    tell.epoch = 2, tell.recovering = true, tell.granted = true, tell.takeoverState = 2, tell.term = 5;
-    tell.value = std::make_shared<const Value>(Value{8, 1, "body"}), tell.syncedValue = {8, 0, 1};
-    core.receive(ms(20), c, tell);  // c is no longer a voter but is still needed
+        if (s.message.kind == MessageKind::recoverRequest) reply.requestId = s.message.requestId;
+    reply.epoch = 2, reply.recovering = true, reply.granted = true, reply.takeoverState = 2, reply.term = 5;
+    reply.value = std::make_shared<const Value>(Value{8, 1, "body"}), reply.syncedValue = {8, 0, 1};
+    core.receive(ms(20), c, reply);  // c is no longer a voter but is still needed
     for (SaveRequest& s : drainOutputs<SaveRequest>(core)) core.handleSaved(ms(21), s.token);
     core.receive(ms(22), b, get);
     sends = drainOutputs<SendRequest>(core);
@@ -246,8 +246,9 @@
             EXPECT_EQ(s.message.syncedValue, (ValueHeader{8, 0, 1}));
         }
     }
-    Message ask = plain(MessageKind::voteRequest,
-                        9);  // the holder under the former voters may be valid for another leaseDuration
+    Message ask =
+        makeMessage(MessageKind::voteRequest,
+                    9);  // the holder under the former voters may be valid for another leaseDuration
     ask.epoch = 2;
     core.receive(ms(30), b, ask);
     for (SaveRequest& s : drainOutputs<SaveRequest>(core)) core.handleSaved(ms(31), s.token);
@@ -317,7 +318,7 @@
     Core core(ms(0), options(a), durable());
     passRollbackCheck(core);
     core.write(ms(10), 77, std::make_shared<const Value>(Value{1, 1, "x"}));
-    Message held = plain(MessageKind::registerReply);
+    Message held = makeMessage(MessageKind::registerReply);
     std::optional<SaveRequest> save;
     while (auto o = core.nextOutput()) {
         if (auto* s = std::get_if<SaveRequest>(&*o)) save = *s;
@@ -458,7 +459,7 @@
         disk.diskId = 7;
         disk.saveCount = 3;
         Core core(ms(0), options(a), disk);
-        Message hello = plain(MessageKind::helloReply);
+        Message hello = makeMessage(MessageKind::helloReply);
         hello.knownDiskId = same ? 7 : 6;
         hello.knownSaveCount = 100;
         core.receive(ms(1), b, hello);
--- a/system/consensus/lease_test.cpp
+++ b/system/consensus/lease_test.cpp
@@ -83,10 +83,10 @@
         before = w.holder();
         ASSERT_GE(before, 0);
         term = w.nodes_[static_cast<size_t>(before)].core->lease().term;
-        const size_t out = before == 0 ? 1 : 0;
+        const size_t isolated = before == 0 ? 1 : 0;
         for (size_t i = 0; i < 5; ++i) {
-            w.cut_.insert({i, out});
-            w.cut_.insert({out, i});
+            w.cut_.insert({i, isolated});
+            w.cut_.insert({isolated, i});
         }
     });
     w.at(sim::World::millis(18000), [&] { w.cut_.clear(); });
@@ -107,22 +107,23 @@
     const auto expect = [&](bool good, const char* what) {
         if (!good && wrong.empty()) wrong = what;
     };
-    size_t out = 0;
+    size_t isolated = 0;
     w.at(sim::World::millis(8000), [&] {
-        out = (static_cast<size_t>(w.holder()) + 1) % 3;
-        expect(w.nodes_[out].core->isInContact(w.clock(out)), "out of contact at rest");
+        isolated = (static_cast<size_t>(w.holder()) + 1) % 3;
+        expect(w.nodes_[isolated].core->isInContact(w.clock(isolated)), "out of contact at rest");
         for (size_t k = 0; k < 3; ++k) {
-            if (k == out) continue;
-            w.cut_.insert({out, k});
-            if (!oneWay) w.cut_.insert({k, out});
+            if (k == isolated) continue;
+            w.cut_.insert({isolated, k});
+            if (!oneWay) w.cut_.insert({k, isolated});
         }
     });
     for (int64_t at = 10500; at < 28000; at += 500) {
         w.at(sim::World::millis(at), [&, at] {
-            expect(!w.nodes_[out].core->isInContact(w.clock(out)), "in contact while cut off");
+            expect(!w.nodes_[isolated].core->isInContact(w.clock(isolated)), "in contact while cut off");
             if (!oneWay)
-                expect(w.nodes_[out].core->isCutOff(w.clock(out)), "does not know that it is cut off");
-            w.writeAt(out, w.randomValue(at));
+                expect(w.nodes_[isolated].core->isCutOff(w.clock(isolated)),
+                       "does not know that it is cut off");
+            w.writeAt(isolated, w.randomValue(at));
         });
     }
     w.at(sim::World::millis(27990), [&] {
@@ -156,16 +157,16 @@
     w.loss_ = 0;
     bool inContact = false;
     w.at(sim::World::millis(8000), [&] {
-        const size_t asleep = (static_cast<size_t>(w.holder()) + 1) % 3;
+        const size_t frozen = (static_cast<size_t>(w.holder()) + 1) % 3;
         const int64_t wakes = sim::World::millis(5000);
-        w.nodes_[asleep].frozenUntil = w.now_ + wakes;
-        const auto look = [&w, &inContact, asleep] {
-            inContact = inContact || w.nodes_[asleep].core->isInContact(w.clock(asleep));
+        w.nodes_[frozen].frozenUntil = w.now_ + wakes;
+        const auto look = [&w, &inContact, frozen] {
+            inContact = inContact || w.nodes_[frozen].core->isInContact(w.clock(frozen));
         };
         w.at(wakes - sim::World::millis(10), look);
         for (int64_t after = 0; after < 3; ++after) w.at(wakes + sim::World::millis(after), look);
         w.at(sim::World::millis(6000),
-             [&w, asleep] { EXPECT_TRUE(w.nodes_[asleep].core->isInContact(w.clock(asleep))); });
+             [&w, frozen] { EXPECT_TRUE(w.nodes_[frozen].core->isInContact(w.clock(frozen))); });
     });
     EXPECT_EQ(w.run(), "");
     return inContact;
--- a/system/consensus/loss_schedule_for_test.hpp
+++ b/system/consensus/loss_schedule_for_test.hpp
@@ -54,12 +54,12 @@
             if (!world_.healed_) f();
         });
     }
-    int lost() const {
+    int activeLosses() const {
         return static_cast<int>(std::count_if(lossEnds_.begin(), lossEnds_.end(),
                                               [this](int64_t end) { return end > world_.now_; }));
     }
-    bool mayLose() const {
-        return !world_.voterSets_.empty() && world_.now_ > allBackAt_ && lost() < world_.plan_.losses;
+    bool mayLoseAnother() const {
+        return !world_.voterSets_.empty() && world_.now_ > allBackAt_ && activeLosses() < world_.plan_.losses;
     }
     // All machines lose power; each counts as lost until it has caught up.
     void losePower() {
@@ -73,11 +73,13 @@
     size_t victim() {
         std::vector<size_t> there;
         for (size_t i = 0; i < world_.nodes_.size(); ++i) {
-            if (!world_.nodes_[i].removed && !leaving(i)) there.push_back(i);
+            if (!world_.nodes_[i].removed && !isLeaving(i)) there.push_back(i);
         }
         return there[static_cast<size_t>(world_.below(static_cast<int64_t>(there.size())))];
     }
-    bool leaving(size_t i) const { return std::find(leaving_.begin(), leaving_.end(), i) != leaving_.end(); }
+    bool isLeaving(size_t i) const {
+        return std::find(leaving_.begin(), leaving_.end(), i) != leaving_.end();
+    }
 
     void injectLoss() {
         const int64_t kind = world_.below(100);
@@ -102,44 +104,44 @@
     // and every majority of the remaining ones contains a voter with the acknowledged value.
     void checkReserve() {
         later(World::millis(50), [this] { checkReserve(); });
-        if (world_.voterSets_.empty() || world_.now_ <= allBackAt_ || changing()) return;
+        if (world_.voterSets_.empty() || world_.now_ <= allBackAt_ || isVotersChangeActive()) return;
         const auto& voters = world_.voterSets_.rbegin()->second;
         const int majority = static_cast<int>(voters.size()) / 2 + 1;
-        const int further = std::max(0, world_.plan_.losses - lost());
-        int able = 0, holding = 0;
+        const int further = std::max(0, world_.plan_.losses - activeLosses());
+        int usable = 0, holding = 0;
         for (size_t i = 0; i < world_.nodes_.size(); ++i) {
             const World::Node& n = world_.nodes_[i];
-            if (!World::contains(voters, n.id) || !countsNow(i)) continue;
-            ++able;
+            if (!World::contains(voters, n.id) || !actsAsVoter(i)) continue;
+            ++usable;
             holding += n.disk->value.version >= world_.acknowledged_.version;
         }
-        if (able - further < majority) {
-            world_.fail(std::to_string(able) + " of " + std::to_string(voters.size()) +
+        if (usable - further < majority) {
+            world_.fail(std::to_string(usable) + " of " + std::to_string(voters.size()) +
                         " voters are whole and " + std::to_string(further) + " more may be lost");
         }
-        if (holding <= further || able - holding >= majority) {
-            world_.fail(std::to_string(holding) + " of " + std::to_string(able) +
+        if (holding <= further || usable - holding >= majority) {
+            world_.fail(std::to_string(holding) + " of " + std::to_string(usable) +
                         " whole voters hold version " + std::to_string(world_.acknowledged_.version));
         }
     }
     // Whether it has an intact disk and the others can hear it.
-    bool countsNow(size_t i) const {
+    bool actsAsVoter(size_t i) const {
         const World::Node& n = world_.nodes_[i];
-        return !n.removed && n.disk && !n.disk->recovering && !unheard(i);
+        return !n.removed && n.disk && !n.disk->recovering && !isUnheard(i);
     }
-    bool unheard(size_t i) const {
+    bool isUnheard(size_t i) const {
         const auto cut = std::count_if(world_.cut_.begin(), world_.cut_.end(),
                                        [i](const auto& pair) { return pair.first == i; });
         return cut > kMaxLosses || world_.now_ < world_.nodes_[i].frozenUntil;
     }
     // Whether a reachable voter has not taken over under the newest voters yet, or a leaving one has not
     // ended yet.
-    bool changing() const {
+    bool isVotersChangeActive() const {
         const auto& voters = world_.voterSets_.rbegin()->second;
         for (size_t i = 0; i < world_.nodes_.size(); ++i) {
             const World::Node& n = world_.nodes_[i];
-            if (n.removed || unheard(i) || !World::contains(voters, n.id)) continue;
-            if (leaving(i)) return true;
+            if (n.removed || isUnheard(i) || !World::contains(voters, n.id)) continue;
+            if (isLeaving(i)) return true;
             if (n.disk && (n.disk->takeoverState > 0 || n.disk->epoch != world_.newestEpoch_)) return true;
         }
         return false;
@@ -148,19 +150,20 @@
     void countReplaced(const NodeId& node) {
         for (size_t i = 0; i < world_.nodes_.size(); ++i) {
             const World::Node& n = world_.nodes_[i];
-            if (n.id != node || n.removed || leaving(i)) continue;
-            const bool well = n.core && !unheard(i) && lost() == 0 && world_.now_ > allBackAt_;
+            if (n.id != node || n.removed || isLeaving(i)) continue;
+            const bool well = n.core && !isUnheard(i) && activeLosses() == 0 && world_.now_ > allBackAt_;
             ++(well ? healthyVotersReplaced_ : pausedVotersReplaced_);
         }
     }
 
     void trace(const char* what, size_t i) const {
         if (std::getenv("CONSENSUS_TRACE"))
-            std::printf("%8.3f %s %zu (lost %d)\n", static_cast<double>(world_.now_) / 1e6, what, i, lost());
+            std::printf("%8.3f %s %zu (lost %d)\n", static_cast<double>(world_.now_) / 1e6, what, i,
+                        activeLosses());
     }
 
     void replace() {
-        if (!mayLose() || nextSpare_ >= world_.nodes_.size()) return;
+        if (!mayLoseAnother() || nextSpare_ >= world_.nodes_.size()) return;
         const size_t old = victim(), successor = nextSpare_++;
         const int64_t between = World::millis(500 + world_.below(4000));
         ++replaced_;
@@ -188,7 +191,7 @@
     }
     // Planned shutdowns wait until other losses are over, as operators do.
     void leaveWhenAllowed(size_t i) {
-        if (!mayLose()) {
+        if (!mayLoseAnother()) {
             later(World::millis(250), [this, i] { leaveWhenAllowed(i); });
             return;
         }
@@ -215,10 +218,10 @@
     }
 
     void loseDisk() {
-        if (!mayLose()) return;
+        if (!mayLoseAnother()) return;
         const size_t i = victim();
         // A disk that refuses writes or hangs does not get lost as well.
-        if (troubled(i)) return;
+        if (isDiskDisturbed(i)) return;
         const int64_t away = World::millis(world_.below(1500));
         countLoss(away);
         trace("disk lost", i);
@@ -229,7 +232,7 @@
         world_.nodes_[i].diskLost = true;
         later(away, [this, i] { world_.start(i, false); });
     }
-    bool troubled(size_t i) const {
+    bool isDiskDisturbed(size_t i) const {
         return world_.nodes_[i].diskRefusesWrites || world_.now_ < world_.nodes_[i].diskHangsUntil;
     }
     // Makes one disk at a time refuse writes or hang, unless it is being rebuilt. This is no loss; the other
@@ -250,7 +253,7 @@
         later(span + World::millis(world_.below(4000)), [this] { disturbDisk(); });
     }
     void cutOff() {
-        if (!mayLose()) return;
+        if (!mayLoseAnother()) return;
         const size_t i = victim();
         const int64_t span = World::millis(1000 + world_.below(21000));
         countLoss(span);
@@ -266,7 +269,7 @@
         });
     }
     void restart() {
-        if (!mayLose()) return;
+        if (!mayLoseAnother()) return;
         const size_t i = victim();
         const int64_t away = World::millis(world_.below(3000));
         countLoss(away);
@@ -275,7 +278,7 @@
         later(away, [this, i] { world_.start(i, false); });
     }
     void freeze() {
-        if (!mayLose()) return;
+        if (!mayLoseAnother()) return;
         const size_t i = victim();
         trace("frozen", i);
         const int64_t span = World::millis(500 + world_.below(30000));
--- a/system/consensus/rebuild_test.cpp
+++ b/system/consensus/rebuild_test.cpp
@@ -12,12 +12,12 @@
 
 constexpr int64_t kCatchUpMillis = 4000;  // from the return of a machine until the next may be lost
 
-enum class DiskTrouble : uint8_t { refusesWrites, hangs };
+enum class DiskFault : uint8_t { refusesWrites, hangs };
 
 // Of three cores, the disk of 10.0.0.2 has the fault; the disk of 10.0.0.3 is lost and, after the time to
 // catch up, that of 10.0.0.1 too while all others lose power. Returns what went wrong; empty if everything
 // acknowledged is still there and all cores work in the end.
-std::string loseTwoDisksInTurn(DiskTrouble trouble, uint32_t seed, Defect defect = Defect::none) {
+std::string loseTwoDisksInTurn(DiskFault fault, uint32_t seed, Defect defect = Defect::none) {
     sim::Plan plan{seed, 3, 1, defect, false, 30, true};
     plan.serviceTimings = true;
     sim::World world(plan);
@@ -29,8 +29,8 @@
         world.at(sim::World::millis(500), [&world, i] { world.start(i, false); });
     };
     world.at(sim::World::millis(6000), [&] {
-        if (trouble == DiskTrouble::refusesWrites) world.nodes_[1].diskRefusesWrites = true;
-        if (trouble == DiskTrouble::hangs)
+        if (fault == DiskFault::refusesWrites) world.nodes_[1].diskRefusesWrites = true;
+        if (fault == DiskFault::hangs)
             world.nodes_[1].diskHangsUntil = world.now_ + sim::World::millis(22000);
     });
     world.at(sim::World::millis(7000), [&] { loseDisk(2); });
@@ -46,17 +46,17 @@
 
 TEST(Rebuild, AMemberWhoseDiskRefusesWritesAnswersRecovery) {
     for (uint32_t seed = 1; seed <= 5; ++seed)
-        EXPECT_EQ(loseTwoDisksInTurn(DiskTrouble::refusesWrites, seed), "") << seed;
+        EXPECT_EQ(loseTwoDisksInTurn(DiskFault::refusesWrites, seed), "") << seed;
 }
 
 TEST(Rebuild, AMemberWhoseDiskHangsAnswersRecovery) {
     for (uint32_t seed = 1; seed <= 5; ++seed)
-        EXPECT_EQ(loseTwoDisksInTurn(DiskTrouble::hangs, seed), "") << seed;
+        EXPECT_EQ(loseTwoDisksInTurn(DiskFault::hangs, seed), "") << seed;
 }
 
 TEST(Rebuild, CatchesARecoverReplyThatWaitsForTheDisk) {
-    EXPECT_NE(loseTwoDisksInTurn(DiskTrouble::refusesWrites, 1, Defect::recoverReplyWaitsForDisk), "");
-    EXPECT_NE(loseTwoDisksInTurn(DiskTrouble::hangs, 1, Defect::recoverReplyWaitsForDisk), "");
+    EXPECT_NE(loseTwoDisksInTurn(DiskFault::refusesWrites, 1, Defect::recoverReplyWaitsForDisk), "");
+    EXPECT_NE(loseTwoDisksInTurn(DiskFault::hangs, 1, Defect::recoverReplyWaitsForDisk), "");
 }
 
 // Operators must see the number of lost disks when two of three are lost and no majority can recover.
@@ -94,17 +94,17 @@
 TEST(Rebuild, NoScheduleOfLossesWithDiskFaultsBreaksAnInvariant) {
     const uint32_t first = numberFromEnvironment("REBUILD_FIRST", 1);
     const uint32_t count = numberFromEnvironment("REBUILD_SCHEDULES", 60);
-    int lost = 0, troubled = 0;
+    int lost = 0, disturbed = 0;
     for (uint32_t seed = first; seed < first + count; ++seed) {
         sim::World world(planWithDiskFaults(seed, Defect::none));
         const sim::LossSchedule losses(world);
         EXPECT_EQ(world.run(), "") << "seed " << seed;
         lost += losses.disksLost();
-        troubled += losses.disksDisturbed();
+        disturbed += losses.disksDisturbed();
     }
     EXPECT_GT(lost, static_cast<int>(count));
-    EXPECT_GT(troubled, static_cast<int>(count));
-    std::cout << count << " schedules: " << lost << " lost disks, " << troubled
+    EXPECT_GT(disturbed, static_cast<int>(count));
+    std::cout << count << " schedules: " << lost << " lost disks, " << disturbed
               << " that refused writes or hung\n";
 }
 
@@ -135,7 +135,7 @@
             });
         }
         world_.at(kEnd, [this] {
-            loseDisk(pick());
+            loseDisk(pickCore());
             losePower();
         });
     }
@@ -143,32 +143,32 @@
   private:
     static constexpr int64_t kEnd = 69000000;
 
-    size_t pick() { return static_cast<size_t>(world_.below(3)); }
+    size_t pickCore() { return static_cast<size_t>(world_.below(3)); }
     void begin() {
         if (world_.now_ > kEnd - sim::World::millis(25000)) return;
-        const size_t cut = pick();
+        const size_t cut = pickCore();
         const size_t lost = (cut + 1 + static_cast<size_t>(world_.below(2))) % 3;
-        const size_t dark = 3 - cut - lost;
+        const size_t down = 3 - cut - lost;
         const int64_t span = sim::World::millis(2000 + world_.below(13000));
-        for (size_t other : {lost, dark}) world_.cut_.insert({{cut, other}, {other, cut}});
-        world_.at(sim::World::millis(500 + world_.below(3000)), [this, lost, dark, span] {
+        for (size_t other : {lost, down}) world_.cut_.insert({{cut, other}, {other, cut}});
+        world_.at(sim::World::millis(500 + world_.below(3000)), [this, lost, down, span] {
             loseDisk(lost);
-            world_.at(world_.below(sim::World::millis(1500)), [this, dark, span] {
-                world_.kill(dark);
-                world_.at(span, [this, dark] {
+            world_.at(world_.below(sim::World::millis(1500)), [this, down, span] {
+                world_.kill(down);
+                world_.at(span, [this, down] {
                     world_.cut_.clear();
-                    world_.start(dark, false);
+                    world_.start(down, false);
                     // All cores have caught up by then, and the next loss may follow.
                     world_.at(sim::World::millis(kCatchUpMillis) + world_.below(5000000),
                               [this] { begin(); });
                 });
             });
         });
-        trouble(chance(cut, dark));
+        disturbDisk(chance(cut, down));
     }
     size_t chance(size_t one, size_t other) { return world_.chance(0.5) ? one : other; }
     // Only an intact disk is affected, and the fault ends before the next loss.
-    void trouble(size_t i) {
+    void disturbDisk(size_t i) {
         const int64_t span = sim::World::millis(500 + world_.below(6000));
         if (world_.chance(0.3)) return;
         if (world_.chance(0.5)) {
--- a/system/consensus/register.cpp
+++ b/system/consensus/register.cpp
@@ -320,13 +320,13 @@
     });
     const bool chosen = highest.ballot == kChosenBallot || isKnownChosen(highest) ||
                         static_cast<size_t>(agreeing) >= majority();
-    const std::shared_ptr<const Value> text = findValue(now, op, highest);
-    if (!text) return false;
+    const std::shared_ptr<const Value> value = findValue(now, op, highest);
+    if (!value) return false;
     if (chosen || options_.defect == Defect::noWriteBack) {
         const bool isNew = highest.version > chosenHeader_.version;
-        if (chosen) learnChosen(text);
+        if (chosen) learnChosen(value);
         if (chosen && isNew) sendToPeers(makeMessage(MessageKind::committed));
-        finishOperation(op, text);
+        finishOperation(op, value);
         return true;
     }
     if (op.settleAt == Instant::never()) op.settleAt = now + kSettleDelay + randomSpan(kSettleJitter);
@@ -335,7 +335,7 @@
                   std::min(op.settleAt, now + kOutbidPause + randomSpan(kOutbidPause)));
         return false;
     }
-    op.proposal = text;
+    op.proposal = value;
     beginStep(op, Operation::Step::claiming, now);
     return false;
 }
@@ -358,15 +358,15 @@
         op.ballot = makeBallot(highestClaimRound_, options_.self);
     }
     if (op.grants.size() < majority()) return;
-    std::shared_ptr<const Value> text = op.proposal;
+    std::shared_ptr<const Value> value = op.proposal;
     if (op.acceptedValue.version > 0 && options_.defect != Defect::ignoresAcceptedValue) {
-        text = findValue(now, op, op.acceptedValue);
-        if (!text) return;
+        value = findValue(now, op, op.acceptedValue);
+        if (!value) return;
     }
     const uint64_t ballot = op.ballot;
     beginStep(op, Operation::Step::putting, now);
     op.ballot = ballot;
-    auto put = std::make_shared<Value>(*text);
+    auto put = std::make_shared<Value>(*value);
     put->ballot = ballot;
     op.proposal = std::move(put);
 }
--- a/system/consensus/register_test.cpp
+++ b/system/consensus/register_test.cpp
@@ -20,7 +20,7 @@
         o.seeds = {a, b, c};
         core_ = std::make_unique<Core>(ms(0), o, std::move(disk));
         drain();
-        hear(b, of(MessageKind::helloReply));  // confirms that our disk was not rolled back
+        receive(b, makeMessage(MessageKind::helloReply));  // confirms that our disk was not rolled back
     }
     static DurableState disk(int64_t version = 0, uint64_t ballot = 0) {
         DurableState d;
@@ -29,22 +29,23 @@
         if (version > 0) d.value = {version, 1, "text", ballot};
         return d;
     }
-    static Message of(MessageKind kind, uint64_t requestId = 0) {
+    static Message makeMessage(MessageKind kind, uint64_t requestId = 0) {
         Message m;
         m.kind = kind;
         m.requestId = requestId;
         m.epoch = 1;
         return m;
     }
-    static Message ofVersion(MessageKind kind, uint64_t requestId, int64_t version, uint64_t ballot) {
-        Message m = of(kind, requestId);
+    static Message makeVersionMessage(MessageKind kind, uint64_t requestId, int64_t version,
+                                      uint64_t ballot) {
+        Message m = makeMessage(kind, requestId);
         m.version = version;
         m.ballot = ballot;
         if (kind == MessageKind::put)
             m.value = std::make_shared<const Value>(Value{version, 1, "text", ballot});
         return m;
     }
-    void hear(const NodeId& from, const Message& m) {
+    void receive(const NodeId& from, const Message& m) {
         core_->receive(ms(now_), from, m);
         drain();
     }
@@ -80,20 +81,20 @@
 // A proposer that has lost its state may use the same ballot again for another value.
 TEST_F(RegisterTest, PromisesABallotToOneRequestOnly) {
     start(disk());
-    hear(b, ofVersion(MessageKind::claim, 10, 5, 100));
+    receive(b, makeVersionMessage(MessageKind::claim, 10, 5, 100));
     EXPECT_TRUE(last(MessageKind::claimReply).granted);
-    hear(b, ofVersion(MessageKind::claim, 10, 5, 100));  // a duplicate
+    receive(b, makeVersionMessage(MessageKind::claim, 10, 5, 100));  // a duplicate
     EXPECT_TRUE(last(MessageKind::claimReply).granted);
-    hear(b, ofVersion(MessageKind::claim, 11, 5, 100));
+    receive(b, makeVersionMessage(MessageKind::claim, 11, 5, 100));
     EXPECT_FALSE(last(MessageKind::claimReply).granted);
 }
 
 TEST_F(RegisterTest, RefusesAPutBelowAPromise) {
     start(disk());
-    hear(b, ofVersion(MessageKind::claim, 10, 5, 100));
-    hear(c, ofVersion(MessageKind::put, 11, 5, 99));
+    receive(b, makeVersionMessage(MessageKind::claim, 10, 5, 100));
+    receive(c, makeVersionMessage(MessageKind::put, 11, 5, 99));
     EXPECT_FALSE(last(MessageKind::registerReply).granted);
-    hear(b, ofVersion(MessageKind::put, 12, 5, 100));
+    receive(b, makeVersionMessage(MessageKind::put, 12, 5, 100));
     EXPECT_TRUE(last(MessageKind::registerReply).granted);
 }
 
@@ -105,21 +106,21 @@
     drain();
     const Message first = last(MessageKind::claim);
     ASSERT_GT(first.ballot, 0u);
-    Message refusal = ofVersion(MessageKind::claimReply, first.requestId, 5, first.ballot + 1);
-    hear(b, refusal);
-    Message nothing = of(MessageKind::registerReply, first.requestId);
+    Message refusal = makeVersionMessage(MessageKind::claimReply, first.requestId, 5, first.ballot + 1);
+    receive(b, refusal);
+    Message nothing = makeMessage(MessageKind::registerReply, first.requestId);
     while (count(MessageKind::claim) < 3 && now_ < 800) {
         tick(now_ + 5);
-        if (last(MessageKind::get).requestId == first.requestId) hear(b, nothing);
+        if (last(MessageKind::get).requestId == first.requestId) receive(b, nothing);
     }
     const Message second = last(MessageKind::claim);
     ASSERT_GT(second.ballot, first.ballot);
-    Message late = ofVersion(MessageKind::claimReply, first.requestId, 5, first.ballot);
+    Message late = makeVersionMessage(MessageKind::claimReply, first.requestId, 5, first.ballot);
     late.granted = true;
-    hear(c, late);
+    receive(c, late);
     EXPECT_EQ(count(MessageKind::put), 0);
     late.ballot = second.ballot;
-    hear(c, late);
+    receive(c, late);
     EXPECT_GT(count(MessageKind::put), 0);
 }
 
@@ -131,10 +132,10 @@
         start(disk(8, 3));
         core_->read(ms(now_), 1);
         drain();
-        Message held = of(MessageKind::registerReply, last(MessageKind::get).requestId);
+        Message held = makeMessage(MessageKind::registerReply, last(MessageKind::get).requestId);
         held.syncedValue = {8, 3, 1};
         held.ballot = promised;
-        hear(b, held);
+        receive(b, held);
         EXPECT_EQ(answers_.size(), promised == 3 ? 1u : 0u);
     }
 }
@@ -142,32 +143,32 @@
 // A chosen value does not replace an accepted higher version, which may be chosen as well.
 TEST_F(RegisterTest, AChosenValueDoesNotReplaceAHigherVersion) {
     start(disk(9, 3));
-    Message chosen = of(MessageKind::value);
+    Message chosen = makeMessage(MessageKind::value);
     chosen.value = std::make_shared<const Value>(Value{7, 1, "text", 2});
     chosen.chosenValue = {7, kChosenBallot, 1};
-    hear(b, chosen);
-    hear(b, of(MessageKind::get, 20));
+    receive(b, chosen);
+    receive(b, makeMessage(MessageKind::get, 20));
     EXPECT_EQ(last(MessageKind::registerReply).syncedValue.version, 9);
 }
 
 // A lost disk is rebuilt with the promises of the others, not only with their values.
 TEST_F(RegisterTest, ARebuiltDiskKeepsThePromisesOfTheOthers) {
     start(std::nullopt);
-    Message hello = of(MessageKind::helloReply);
+    Message hello = makeMessage(MessageKind::helloReply);
     hello.voters = hello.electors = {a, b, c};
-    hear(b, hello);
+    receive(b, hello);
     for (int64_t at = 10; at < 2500 && count(MessageKind::recoverRequest) == 0; at += 10) tick(at);
-    Message tell = of(MessageKind::recoverReply, last(MessageKind::recoverRequest).requestId);
-    tell.granted = true;
-    tell.voters = {a, b, c};
-    tell.claims = {{5, 100}};
-    hear(b, tell);
-    tell.claims.clear();
-    hear(c, tell);
+    Message reply = makeMessage(MessageKind::recoverReply, last(MessageKind::recoverRequest).requestId);
+    reply.granted = true;
+    reply.voters = {a, b, c};
+    reply.claims = {{5, 100}};
+    receive(b, reply);
+    reply.claims.clear();
+    receive(c, reply);
     ASSERT_FALSE(core_->isRecovering());
-    hear(c, ofVersion(MessageKind::put, 30, 5, 99));
+    receive(c, makeVersionMessage(MessageKind::put, 30, 5, 99));
     EXPECT_FALSE(last(MessageKind::registerReply).granted);
-    hear(c, ofVersion(MessageKind::put, 31, 5, 101));
+    receive(c, makeVersionMessage(MessageKind::put, 31, 5, 101));
     EXPECT_TRUE(last(MessageKind::registerReply).granted);
 }
 
@@ -185,14 +186,14 @@
             const SendRequest pendingTickets = sent_[heard];
             const Message& m = pendingTickets.message;
             if (pendingTickets.to == b && m.kind == MessageKind::get) {
-                Message holds = of(MessageKind::registerReply, m.requestId);
+                Message holds = makeMessage(MessageKind::registerReply, m.requestId);
                 holds.syncedValue = {4, kChosenBallot, 1};
-                hear(b, holds);
+                receive(b, holds);
             }
             if (pendingTickets.to == c && m.kind == MessageKind::claim) {
-                Message overtaken = ofVersion(MessageKind::claimReply, m.requestId, m.version, 7);
+                Message overtaken = makeVersionMessage(MessageKind::claimReply, m.requestId, m.version, 7);
                 overtaken.syncedValue = {9, 7, 1};
-                hear(c, overtaken);
+                receive(c, overtaken);
             }
         }
         while (heard < sent_.size() && sent_[heard].message.kind == MessageKind::fetch) ++heard;
--- a/system/consensus/replacement_test.cpp
+++ b/system/consensus/replacement_test.cpp
@@ -418,12 +418,12 @@
     plan.defect = defect;
     World w(plan);
     uint64_t epoch = 0;
-    size_t deaf = 0, first = 0, second = 0;
+    size_t isolated = 0, first = 0, second = 0;
     startSparesAt(w, {{7000, 5}, {7000, 6}});
     w.at(World::millis(10000), [&] {
         const auto holder = static_cast<size_t>(w.holder());
-        deaf = (holder + 1) % 5, first = (holder + 2) % 5, second = (holder + 3) % 5;
-        for (size_t k = 0; k < 7; ++k) w.cut_.insert({k, deaf});
+        isolated = (holder + 1) % 5, first = (holder + 2) % 5, second = (holder + 3) % 5;
+        for (size_t k = 0; k < 7; ++k) w.cut_.insert({k, isolated});
         w.kill(first);
         w.nodes_[first].removed = true;
     });
--- a/system/consensus/world_for_test.hpp
+++ b/system/consensus/world_for_test.hpp
@@ -33,9 +33,9 @@
             at(millis(below(4000)), [this, one] { loseDisk(one, false); });
             at(millis(below(4000)), [this, one] { loseDisk((one + 1) % 3, false); });
         }
-        const int64_t calm = millis(static_cast<int64_t>(plan_.seconds * 1000));
-        at(calm, [this] { heal(); });
-        const int64_t end = calm + millis(25000);
+        const int64_t healAt = millis(static_cast<int64_t>(plan_.seconds * 1000));
+        at(healAt, [this] { heal(); });
+        const int64_t end = healAt + millis(25000);
         at(end - kQuietPeriodMillis * 1000, [this] { quiet_ = true; });
         at(end - millis(6000) - kQuietPeriodMillis * 1000, [this] {
             writesBeforeEnd_ = doneWrites_;
@@ -156,18 +156,18 @@
         }
         // Each version has one value forever, at every core.
         if (got.version > 0) {
-            const uint64_t told = texts_.emplace(got.version, got.digest).first->second;
-            if (told != got.digest) fail("two texts under version " + std::to_string(got.version));
+            const uint64_t digest = digests_.emplace(got.version, got.digest).first->second;
+            if (digest != got.digest) fail("two values of version " + std::to_string(got.version));
         }
         if (!reading && got.version == wanted.version && same != (a.outcome == OperationResult::done)) {
-            fail("a write of version " + std::to_string(got.version) + " was told of another text's fate");
+            fail("a write of version " + std::to_string(got.version) + " got the result of another value");
         }
         if (a.outcome == OperationResult::conflict) {
             ++conflicts_;
             return;
         }
         if (got.version > 0 && got.body != std::to_string(got.version) + ":" + std::to_string(got.digest)) {
-            fail("a body that was not sent under its number");
+            fail("a body that was not written under its version");
         }
         if (got.version > acknowledged_.version) acknowledged_ = got;
         // The worst instant for a power loss: anything acknowledged too early is lost.
@@ -196,8 +196,8 @@
         const auto& voters = nodes_[i].core->voters();
         if (voters.empty()) return;
         const uint64_t epoch = nodes_[i].core->epoch();
-        const auto& one = voterSets_.emplace(epoch, voters).first->second;
-        if (voters != one) fail("two sets of voters in one epoch");
+        const auto& expected = voterSets_.emplace(epoch, voters).first->second;
+        if (voters != expected) fail("two sets of voters in one epoch");
         if (epoch > newestEpoch_ && std::getenv("CONSENSUS_TRACE")) {
             std::printf("%8.3f epoch %lu:", static_cast<double>(now_) / 1e6, epoch);
             for (const NodeId& n : voters) std::printf(" %s", n.c_str());
@@ -336,7 +336,7 @@
     bool healed_ = false;
     uint64_t ticket_ = 0;
     int64_t version_ = 0;
-    std::map<int64_t, uint64_t> texts_;  // the reported digest of each version
+    std::map<int64_t, uint64_t> digests_;  // the reported digest of each version
     int conflicts_ = 0;
     Value acknowledged_;
     uint64_t lastTerm_ = 0;
