--- a/system/consensus/lease.cpp
+++ b/system/consensus/lease.cpp
@@ -3,7 +3,6 @@
 
 namespace petrelpond::consensus {
 
-//
 // At most one core holds the lease at any instant. To hold it a core needs replies of a majority to messages
 // that it sent less than leaseDuration ago, and a voter that replied votes for nobody else until
 // leaseDuration plus one sixteenth has passed. So the majority that elects a new holder contains, for each
--- a/system/consensus/register.cpp
+++ b/system/consensus/register.cpp
@@ -56,7 +56,7 @@
 
 }  // namespace
 
-// // ---- accepted values and promises of this disk
+// ---- accepted values and promises of this disk
 
 void Core::adoptIfNewer(const std::shared_ptr<const Value>& v) {
     if (!v || headerOf(v) <= headerOf(value_)) return;
@@ -213,7 +213,7 @@
         settleReadAt_ = now + options_.heartbeatInterval * 2 + randomSpan(options_.heartbeatInterval * 4);
 }
 
-// // ---- writes and reads begun by this core
+// ---- writes and reads begun by this core
 
 void Core::write(Instant now, uint64_t ticket, std::shared_ptr<const Value> v) {
     beginInput(now);
--- a/system/consensus/world_for_test.hpp
+++ b/system/consensus/world_for_test.hpp
@@ -93,7 +93,7 @@
         return voterSets_.empty() ? std::vector<NodeId>{} : voterSets_.begin()->second;
     }
 
-    // // ---- clients: writes of rising versions, and reads, at random cores
+    // ---- clients: writes of rising versions, and reads, at random cores
     void runClient() {
         if (quiet_) return;
         const size_t i = anyNode();
@@ -233,7 +233,7 @@
         at(millis(200 + below(2500)), [this] { changeVoters(); });
     }
 
-    // // ---- faults
+    // ---- faults
     void injectFault() {
         if (healed_) return;
         const size_t i = static_cast<size_t>(below(static_cast<int64_t>(nodes_.size())));
