--- a/system/consensus/lease_test.cpp
+++ b/system/consensus/lease_test.cpp
@@ -1,4 +1,4 @@
-// The lease and the contact with a majority, on simulated machines: each fails without the defence that it
+// The lease and contact with a majority, on simulated machines. Each test fails without the safeguard that it
 // names.
 #include <gtest/gtest.h>
 
@@ -23,7 +23,7 @@
     EXPECT_EQ(w.run(), "");
 }
 
-// Where all start anew the last holder is voted for before the promises to it are over, and it alone.
+// After a restart of all cores, only the last holder can be elected before the promises to it expire.
 TEST(Core, AfterAFullRestartTheLastHolderRegainsTheLeaseSooner) {
     for (const bool without : {false, true}) {
         sim::World w({7, 5, 1, Defect::none, false, 15});
@@ -52,7 +52,7 @@
         sim::World::Node& n = w.nodes_[static_cast<size_t>(h)];
         n.frozenUntil = w.now_ + sim::World::millis(5000);
         w.at(sim::World::millis(4900), [&w, &n, h] {
-            EXPECT_TRUE(n.core->lease().held);  // as it still thinks
+            EXPECT_TRUE(n.core->lease().held);  // as far as it knows
             EXPECT_GT(w.clock(static_cast<size_t>(h)), n.core->lease().validUntil);
             const auto value = std::make_shared<const Value>(Value{1, 1, "x"});
             n.core->write(w.clock(static_cast<size_t>(h)), 1u << 30, value);
@@ -74,7 +74,7 @@
     w.run();
 }
 
-// A core that nobody heard for long must not put down the living holder when it is heard again.
+// A core that was isolated for long must not depose the active holder when it returns.
 TEST(Core, AnIsolatedCoreReturnsWithoutDisturbingTheHolder) {
     sim::World w({5, 5, 1, Defect::none, false, 25});
     int before = -1;
@@ -83,10 +83,10 @@
         before = w.holder();
         ASSERT_GE(before, 0);
         term = w.nodes_[static_cast<size_t>(before)].core->lease().term;
-        const size_t out = before == 0 ? 1 : 0;
+        const size_t isolated = before == 0 ? 1 : 0;
         for (size_t i = 0; i < 5; ++i) {
-            w.cut_.insert({i, out});
-            w.cut_.insert({out, i});
+            w.cut_.insert({i, isolated});
+            w.cut_.insert({isolated, i});
         }
     });
     w.at(sim::World::millis(18000), [&] { w.cut_.clear(); });
@@ -95,8 +95,9 @@
     EXPECT_EQ(w.lastTerm_, term);
 }
 
-// A member that is cut off for twenty seconds: within two it says so, it confirms and reads nothing, and it
-// is back soon after. Cut one way alone, so that it hears the heartbeats and is not heard, all the same.
+// A member is isolated for twenty seconds: within two seconds it reports that, it acknowledges nothing, and
+// it recovers soon after the cut. The same holds for a cut in one direction, where it hears heartbeats but is
+// not heard.
 std::string isolateForTwentySeconds(Defect defect, bool oneWay) {
     sim::Plan plan{9, 3, 1, defect, false, 35, false};
     plan.serviceTimings = true;
@@ -106,22 +107,23 @@
     const auto expect = [&](bool good, const char* what) {
         if (!good && wrong.empty()) wrong = what;
     };
-    size_t out = 0;
+    size_t isolated = 0;
     w.at(sim::World::millis(8000), [&] {
-        out = (static_cast<size_t>(w.holder()) + 1) % 3;
-        expect(w.nodes_[out].core->isInContact(w.clock(out)), "out of contact at rest");
+        isolated = (static_cast<size_t>(w.holder()) + 1) % 3;
+        expect(w.nodes_[isolated].core->isInContact(w.clock(isolated)), "out of contact at rest");
         for (size_t k = 0; k < 3; ++k) {
-            if (k == out) continue;
-            w.cut_.insert({out, k});
-            if (!oneWay) w.cut_.insert({k, out});
+            if (k == isolated) continue;
+            w.cut_.insert({isolated, k});
+            if (!oneWay) w.cut_.insert({k, isolated});
         }
     });
     for (int64_t at = 10500; at < 28000; at += 500) {
         w.at(sim::World::millis(at), [&, at] {
-            expect(!w.nodes_[out].core->isInContact(w.clock(out)), "in contact while cut off");
+            expect(!w.nodes_[isolated].core->isInContact(w.clock(isolated)), "in contact while cut off");
             if (!oneWay)
-                expect(w.nodes_[out].core->isCutOff(w.clock(out)), "does not know that it is cut off");
-            w.writeAt(out, w.randomValue(at));
+                expect(w.nodes_[isolated].core->isCutOff(w.clock(isolated)),
+                       "does not know that it is cut off");
+            w.writeAt(isolated, w.randomValue(at));
         });
     }
     w.at(sim::World::millis(27990), [&] {
@@ -146,8 +148,8 @@
               "in contact while cut off");
 }
 
-// A core that wakes from a freeze is out of contact until a holder has heard it again.
-// The heartbeats that came meanwhile tell of answers that it gave before.
+// A core that wakes from a freeze is out of contact until a holder has received a new reply; heartbeats that
+// arrived during the freeze echo older replies.
 bool isInContactOnWakeup(Defect defect) {
     sim::Plan plan{9, 3, 1, defect, false, 20, false};
     plan.serviceTimings = true;
@@ -155,16 +157,16 @@
     w.loss_ = 0;
     bool inContact = false;
     w.at(sim::World::millis(8000), [&] {
-        const size_t asleep = (static_cast<size_t>(w.holder()) + 1) % 3;
+        const size_t frozen = (static_cast<size_t>(w.holder()) + 1) % 3;
         const int64_t wakes = sim::World::millis(5000);
-        w.nodes_[asleep].frozenUntil = w.now_ + wakes;
-        const auto look = [&w, &inContact, asleep] {
-            inContact = inContact || w.nodes_[asleep].core->isInContact(w.clock(asleep));
+        w.nodes_[frozen].frozenUntil = w.now_ + wakes;
+        const auto look = [&w, &inContact, frozen] {
+            inContact = inContact || w.nodes_[frozen].core->isInContact(w.clock(frozen));
         };
         w.at(wakes - sim::World::millis(10), look);
         for (int64_t after = 0; after < 3; ++after) w.at(wakes + sim::World::millis(after), look);
         w.at(sim::World::millis(6000),
-             [&w, asleep] { EXPECT_TRUE(w.nodes_[asleep].core->isInContact(w.clock(asleep))); });
+             [&w, frozen] { EXPECT_TRUE(w.nodes_[frozen].core->isInContact(w.clock(frozen))); });
     });
     EXPECT_EQ(w.run(), "");
     return inContact;
@@ -174,9 +176,9 @@
     EXPECT_TRUE(isInContactOnWakeup(Defect::contactFromReceipt));
 }
 
-// The holder sends a heartbeat and sleeps for most of its lease, is cut off, and hears on waking what was
-// answered before: its lease runs from when it asked, so that it is over before the others may vote for
-// another.
+// The holder sends a heartbeat, freezes for most of its lease, is cut off, and receives the earlier replies
+// on waking. Its lease must run from the sending of the heartbeat, so that it expires before the others may
+// vote for another core.
 std::string sleepThenIsolate(Defect defect) {
     sim::World w({9, 3, 1, defect, false, 20, false});
     w.loss_ = 0;
@@ -196,7 +198,7 @@
 }
 TEST(Core, ALeaseRunsFromWhenTheHeartbeatWasSent) {
     EXPECT_EQ(sleepThenIsolate(Defect::none), "");
-    EXPECT_NE(sleepThenIsolate(Defect::leaseFromReply).find("two hold the duty"), std::string::npos);
+    EXPECT_NE(sleepThenIsolate(Defect::leaseFromReply).find("two cores hold the lease"), std::string::npos);
 }
 
 }  // namespace
--- a/system/consensus/loss_schedule_for_test.hpp
+++ b/system/consensus/loss_schedule_for_test.hpp
@@ -1,7 +1,7 @@
-// A schedule of losses that keeps to what a deployment must bear: at no instant are more members lost than
-// Options::machineLosses, counted as operators count them. A machine is lost while it is down, cut off or
-// frozen and for kCatchUp after it is back; one that is replaced for good is lost until its successor has run
-// for kCatchUp. All may lose power at once at any moment.
+// A schedule of losses within what a deployment must tolerate: never more than Options::machineLosses members
+// are lost at a time, counted as operators count them. A machine counts as lost while it is down, cut off or
+// frozen and for kCatchUpMillis after its return; one that is replaced permanently counts until its successor
+// has run for kCatchUpMillis. All machines may lose power together at any moment.
 #pragma once
 
 #include <algorithm>
@@ -17,11 +17,11 @@
 class LossSchedule {
   public:
     static constexpr int64_t kCatchUpMillis = 4000;
-    static constexpr int64_t kPowerLossMillis =
-        2000;                                        // the longest that a loss of power takes a machine away
-    static constexpr int64_t kHandOverMillis = 300;  // until the place of a member that leaves is taken over
-    static constexpr int64_t kGraceMillis = 5000;    // from the word to leave to the kill
-    static constexpr int kMaxLosses = 2;  // of any plan: a core that hears all but so many is not cut off
+    static constexpr int64_t kPowerLossMillis = 2000;  // the longest downtime of a machine after a power loss
+    static constexpr int64_t kHandOverMillis = 300;    // until a leaving voter has been replaced
+    static constexpr int64_t kGraceMillis = 5000;      // from the order to shut down to the kill
+    // Of any plan; a core with at most so many blocked links is not cut off.
+    static constexpr int kMaxLosses = 2;
 
     explicit LossSchedule(World& world) : world_(world), nextSpare_(static_cast<size_t>(world.plan_.cores)) {
         for (size_t i = nextSpare_; i < world_.nodes_.size(); ++i) world_.nodes_[i].removed = true;
@@ -43,8 +43,8 @@
     int replaced() const { return replaced_; }
     int disksLost() const { return disksLost_; }
     int disksDisturbed() const { return disksDisturbed_; }
-    // Voters whose place was given away though they were there: cut off or frozen at that moment, or lately
-    // started anew; and though nothing at all was wrong with them.
+    // Voters that were replaced although they were running: cut off, frozen or recently restarted; and voters
+    // that were replaced without any fault at all.
     int pausedVotersReplaced() const { return pausedVotersReplaced_; }
     int healthyVotersReplaced() const { return healthyVotersReplaced_; }
 
@@ -54,14 +54,14 @@
             if (!world_.healed_) f();
         });
     }
-    int lost() const {
+    int activeLosses() const {
         return static_cast<int>(std::count_if(lossEnds_.begin(), lossEnds_.end(),
                                               [this](int64_t end) { return end > world_.now_; }));
     }
-    bool mayLose() const {
-        return !world_.voterSets_.empty() && world_.now_ > allBackAt_ && lost() < world_.plan_.losses;
+    bool mayLoseAnother() const {
+        return !world_.voterSets_.empty() && world_.now_ > allBackAt_ && activeLosses() < world_.plan_.losses;
     }
-    // Of all machines; each counts as lost until it has caught up.
+    // All machines lose power; each counts as lost until it has caught up.
     void losePower() {
         world_.powerLoss();
         allBackAt_ = world_.now_ + World::millis(kPowerLossMillis + kCatchUpMillis);
@@ -69,15 +69,17 @@
     void countLoss(int64_t backAfter) {
         lossEnds_.push_back(world_.now_ + backAfter + World::millis(kCatchUpMillis));
     }
-    // A machine that is on the newest voters, or any that is there.
+    // A random machine that is present and not leaving.
     size_t victim() {
         std::vector<size_t> there;
         for (size_t i = 0; i < world_.nodes_.size(); ++i) {
-            if (!world_.nodes_[i].removed && !leaving(i)) there.push_back(i);
+            if (!world_.nodes_[i].removed && !isLeaving(i)) there.push_back(i);
         }
         return there[static_cast<size_t>(world_.below(static_cast<int64_t>(there.size())))];
     }
-    bool leaving(size_t i) const { return std::find(leaving_.begin(), leaving_.end(), i) != leaving_.end(); }
+    bool isLeaving(size_t i) const {
+        return std::find(leaving_.begin(), leaving_.end(), i) != leaving_.end();
+    }
 
     void injectLoss() {
         const int64_t kind = world_.below(100);
@@ -98,48 +100,48 @@
               [this] { injectLoss(); });
     }
 
-    // Between changes: whatever further losses are still promised, the worst of them leave a majority of the
-    // voters, and every majority of what they leave holds somebody who knows what was acknowledged.
+    // Checked between changes of the voters: the worst losses still allowed leave a majority of the voters,
+    // and every majority of the remaining ones contains a voter with the acknowledged value.
     void checkReserve() {
         later(World::millis(50), [this] { checkReserve(); });
-        if (world_.voterSets_.empty() || world_.now_ <= allBackAt_ || changing()) return;
+        if (world_.voterSets_.empty() || world_.now_ <= allBackAt_ || isVotersChangeActive()) return;
         const auto& voters = world_.voterSets_.rbegin()->second;
         const int majority = static_cast<int>(voters.size()) / 2 + 1;
-        const int further = std::max(0, world_.plan_.losses - lost());
-        int able = 0, holding = 0;
+        const int further = std::max(0, world_.plan_.losses - activeLosses());
+        int usable = 0, holding = 0;
         for (size_t i = 0; i < world_.nodes_.size(); ++i) {
             const World::Node& n = world_.nodes_[i];
-            if (!World::contains(voters, n.id) || !countsNow(i)) continue;
-            ++able;
+            if (!World::contains(voters, n.id) || !actsAsVoter(i)) continue;
+            ++usable;
             holding += n.disk->value.version >= world_.acknowledged_.version;
         }
-        if (able - further < majority) {
-            world_.fail(std::to_string(able) + " of " + std::to_string(voters.size()) +
+        if (usable - further < majority) {
+            world_.fail(std::to_string(usable) + " of " + std::to_string(voters.size()) +
                         " voters are whole and " + std::to_string(further) + " more may be lost");
         }
-        if (holding <= further || able - holding >= majority) {
-            world_.fail(std::to_string(holding) + " of " + std::to_string(able) +
+        if (holding <= further || usable - holding >= majority) {
+            world_.fail(std::to_string(holding) + " of " + std::to_string(usable) +
                         " whole voters hold version " + std::to_string(world_.acknowledged_.version));
         }
     }
-    // Its disk is there and promises something, and the others can hear it.
-    bool countsNow(size_t i) const {
+    // Whether it has an intact disk and the others can hear it.
+    bool actsAsVoter(size_t i) const {
         const World::Node& n = world_.nodes_[i];
-        return !n.removed && n.disk && !n.disk->recovering && !unheard(i);
+        return !n.removed && n.disk && !n.disk->recovering && !isUnheard(i);
     }
-    bool unheard(size_t i) const {
+    bool isUnheard(size_t i) const {
         const auto cut = std::count_if(world_.cut_.begin(), world_.cut_.end(),
                                        [i](const auto& pair) { return pair.first == i; });
         return cut > kMaxLosses || world_.now_ < world_.nodes_[i].frozenUntil;
     }
-    // A voter that can be heard has not taken the newest voters over yet, or one that leaves has not yet
-    // ended.
-    bool changing() const {
+    // Whether a reachable voter has not taken over under the newest voters yet, or a leaving one has not
+    // ended yet.
+    bool isVotersChangeActive() const {
         const auto& voters = world_.voterSets_.rbegin()->second;
         for (size_t i = 0; i < world_.nodes_.size(); ++i) {
             const World::Node& n = world_.nodes_[i];
-            if (n.removed || unheard(i) || !World::contains(voters, n.id)) continue;
-            if (leaving(i)) return true;
+            if (n.removed || isUnheard(i) || !World::contains(voters, n.id)) continue;
+            if (isLeaving(i)) return true;
             if (n.disk && (n.disk->takeoverState > 0 || n.disk->epoch != world_.newestEpoch_)) return true;
         }
         return false;
@@ -148,19 +150,20 @@
     void countReplaced(const NodeId& node) {
         for (size_t i = 0; i < world_.nodes_.size(); ++i) {
             const World::Node& n = world_.nodes_[i];
-            if (n.id != node || n.removed || leaving(i)) continue;
-            const bool well = n.core && !unheard(i) && lost() == 0 && world_.now_ > allBackAt_;
+            if (n.id != node || n.removed || isLeaving(i)) continue;
+            const bool well = n.core && !isUnheard(i) && activeLosses() == 0 && world_.now_ > allBackAt_;
             ++(well ? healthyVotersReplaced_ : pausedVotersReplaced_);
         }
     }
 
     void trace(const char* what, size_t i) const {
         if (std::getenv("CONSENSUS_TRACE"))
-            std::printf("%8.3f %s %zu (lost %d)\n", static_cast<double>(world_.now_) / 1e6, what, i, lost());
+            std::printf("%8.3f %s %zu (lost %d)\n", static_cast<double>(world_.now_) / 1e6, what, i,
+                        activeLosses());
     }
 
     void replace() {
-        if (!mayLose() || nextSpare_ >= world_.nodes_.size()) return;
+        if (!mayLoseAnother() || nextSpare_ >= world_.nodes_.size()) return;
         const size_t old = victim(), successor = nextSpare_++;
         const int64_t between = World::millis(500 + world_.below(4000));
         ++replaced_;
@@ -172,7 +175,7 @@
             return;
         }
         startSpare(successor);
-        // The successor is a loss of its own until it has caught up; the one that leaves, once it is gone.
+        // The successor counts as a loss until it has caught up; the leaving machine once it has ended.
         lossEnds_.push_back(world_.now_ + World::millis(kCatchUpMillis));
         leaving_.push_back(old);
         later(between, [this, old] { leaveWhenAllowed(old); });
@@ -186,9 +189,9 @@
         world_.kill(i);
         world_.nodes_[i].removed = true;
     }
-    // Planned work waits while another loss has its time, as operators do.
+    // Planned shutdowns wait until other losses are over, as operators do.
     void leaveWhenAllowed(size_t i) {
-        if (!mayLose()) {
+        if (!mayLoseAnother()) {
             later(World::millis(250), [this, i] { leaveWhenAllowed(i); });
             return;
         }
@@ -215,10 +218,10 @@
     }
 
     void loseDisk() {
-        if (!mayLose()) return;
+        if (!mayLoseAnother()) return;
         const size_t i = victim();
-        // A machine has one disk: the lost one may be replaced, the troubled one may not be lost meanwhile.
-        if (troubled(i)) return;
+        // A disk that refuses writes or hangs does not get lost as well.
+        if (isDiskDisturbed(i)) return;
         const int64_t away = World::millis(world_.below(1500));
         countLoss(away);
         trace("disk lost", i);
@@ -229,10 +232,11 @@
         world_.nodes_[i].diskLost = true;
         later(away, [this, i] { world_.start(i, false); });
     }
-    bool troubled(size_t i) const {
+    bool isDiskDisturbed(size_t i) const {
         return world_.nodes_[i].diskRefusesWrites || world_.now_ < world_.nodes_[i].diskHangsUntil;
     }
-    // One at a time, of a machine whose disk has been rebuilt. No loss: the others go on as scheduled.
+    // Makes one disk at a time refuse writes or hang, unless it is being rebuilt. This is no loss; the other
+    // losses go on as scheduled.
     void disturbDisk() {
         const size_t i = victim();
         const int64_t span = World::millis(1000 + world_.below(14000));
@@ -249,7 +253,7 @@
         later(span + World::millis(world_.below(4000)), [this] { disturbDisk(); });
     }
     void cutOff() {
-        if (!mayLose()) return;
+        if (!mayLoseAnother()) return;
         const size_t i = victim();
         const int64_t span = World::millis(1000 + world_.below(21000));
         countLoss(span);
@@ -265,7 +269,7 @@
         });
     }
     void restart() {
-        if (!mayLose()) return;
+        if (!mayLoseAnother()) return;
         const size_t i = victim();
         const int64_t away = World::millis(world_.below(3000));
         countLoss(away);
@@ -274,7 +278,7 @@
         later(away, [this, i] { world_.start(i, false); });
     }
     void freeze() {
-        if (!mayLose()) return;
+        if (!mayLoseAnother()) return;
         const size_t i = victim();
         trace("frozen", i);
         const int64_t span = World::millis(500 + world_.below(30000));
