--- a/system/gossip/fleet_for_test.hpp
+++ b/system/gossip/fleet_for_test.hpp
@@ -1,4 +1,4 @@
-// Many agents in simulated time, with losses, delays and cuts from a seed.
+// Simulated fleet of gossip nodes with seeded losses, delays and partitions, for tests.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -33,7 +33,7 @@
         for (size_t i = 0; i < n; ++i) introducePeers(i);
     }
 
-    // The core names at most four others at random, as at a link.
+    // The core names up to four random peers, as when an agent connects to it.
     void start(size_t i, uint64_t incarnation, bool core = true) {
         Options o;
         o.self = peer(i, incarnation);
@@ -58,7 +58,8 @@
         nodes_[i]->updateDigest(now, d);
         processOutputs(i);
     }
-    // Things done to a node from outside are pulled and its wake is set anew.
+    // Processes the outputs of a node and schedules its next wake-up. Call it after each direct input to a
+    // node.
     void processOutputs(size_t i) {
         while (auto o = nodes_[i]->next()) {
             if (auto* s = std::get_if<Send>(&*o)) {
@@ -89,11 +90,11 @@
             now = std::max(now, e.when);
             if (!nodes_[e.to]) continue;
             if (frozen.count(e.to)) {
-                if (!e.data.empty()) heldEvents_.push_back(e);  // waits in its socket
+                if (!e.data.empty()) heldEvents_.push_back(e);  // waits in its socket buffer
                 continue;
             }
             if (e.data.empty()) {
-                if (nodes_[e.to]->wakeAt() > now) continue;  // a wake that was set anew
+                if (nodes_[e.to]->wakeAt() > now) continue;  // the wake-up was rescheduled
                 nodes_[e.to]->tick(now);
             } else if (e.data == "fetch") {
                 if (!nodes_[e.from] || frozen.count(e.from) || isCut(e.to, e.from) ||
@@ -121,7 +122,7 @@
         }
         processOutputs(i);
     }
-    // Least share of the truly living that any agent knows.
+    // The least share of the agents that really run which any agent counts as alive.
     double leastKnownShare() {
         std::set<std::string> truly;
         for (size_t i = 0; i < nodes_.size(); ++i)
@@ -157,10 +158,10 @@
     std::set<size_t> frozen, failFetchFrom;
     std::function<bool(size_t, size_t)> isCut = [](size_t, size_t) { return false; };
     size_t datagrams = 0, bytes = 0, crossZoneBytes = 0, fetches = 0, holderChanges = 0;
-    // How long a configuration takes from that agent, asked for now.
+    // How long a fetch of the configuration from that agent takes if started now.
     std::function<Span(size_t)> transferTime = [](size_t) { return Span::millis(5); };
-    std::function<void()> afterEachInput = [] {};  // after each input
-    double duplicateShare = 0;                     // share of datagrams that come twice
+    std::function<void()> afterEachInput = [] {};  // called after each input
+    double duplicateShare = 0;                     // share of datagrams that are delivered twice
     void setLoss(double share) { loss_ = share; }
     bool isRunning(size_t i) const { return nodes_[i] != nullptr; }
     size_t size() const { return nodes_.size(); }
--- a/system/gossip/gossip_node.cpp
+++ b/system/gossip/gossip_node.cpp
@@ -7,20 +7,20 @@
 
 namespace {
 
-constexpr size_t kMaxEntries = 2048;     // entries kept, the dead included
-constexpr size_t kMaxWantedIds = 20;     // of one message: as many entries as surely fit into its answer
-constexpr size_t kMaxConfigSources = 4;  // kept in case the one asked fails
-constexpr size_t kMaxOutputs = 4096;     // against a host that does not pull; then the oldest go, as if lost
-constexpr size_t kMaxEntriesScanned = 512;  // entries of the table, for the beats of one message
-constexpr size_t kCrossZoneExchanges = 6;   // exchanges a round that the agents of one zone begin across
-constexpr size_t kCrossZoneRounds = 3;      // of few agents: every so many rounds one exchange across
-constexpr int kMaxDraws = 16;               // draws for somebody of the own zone
+constexpr size_t kMaxEntries = 2048;     // entries kept, dead agents included
+constexpr size_t kMaxWantedIds = 20;     // in one message; that many entries always fit into the answer
+constexpr size_t kMaxConfigSources = 4;  // kept in case the current fetch fails
+constexpr size_t kMaxOutputs = 4096;     // for a host that does not pull; the oldest are dropped, as if lost
+constexpr size_t kMaxEntriesScanned = 512;  // of the table, to choose the heartbeats of one message
+constexpr size_t kCrossZoneExchanges = 6;   // to other zones per round, by all agents of a zone together
+constexpr size_t kCrossZoneRounds = 3;  // in small zones, each agent goes across zones once in so many rounds
+constexpr int kMaxDraws = 16;           // random draws for an agent of the own zone
 constexpr size_t kHeartbeatBytes = 9, kIdBytes = 5;
 constexpr uint64_t kIdMask = (uint64_t{1} << 39) - 1;
 constexpr Span kHeartbeatInterval = Span::seconds(1);
 
-// FNV-1a, folded. Two of 1,000 agents share an id once in a million fleets; one's beats would then be taken
-// for the other's until it restarts.
+// FNV-1a, folded to 39 bits. Two of 1,000 agents share an id in about one fleet of a million; the heartbeats
+// of one are then taken for those of the other until it restarts.
 uint64_t idOfPeer(const Peer& p) {
     uint64_t h = 14695981039346656037ull;
     const auto mix = [&h](uint8_t byte) { h = (h ^ byte) * 1099511628211ull; };
@@ -42,7 +42,7 @@
     return value;
 }
 
-// Upper bounds of what msgpack makes of them, in bytes.
+// Upper bounds of the MessagePack encoding, in bytes.
 size_t maxEncodedSize(const Peer& p) { return 22 + p.name.size() + p.ip.size() + p.zone.size(); }
 size_t maxEncodedSizeWithoutLists(const Message& m) {
     return 45 + maxEncodedSize(m.from) + m.digest.holder.size();
@@ -64,9 +64,10 @@
     updateOwnHeartbeat(now);
 }
 
-// A process that was frozen must not take the time it slept for the silence of all others: it would forget
-// everyone, tell its host that it is alone and shuffle with none. Catches a stalled host too. Harm: agents
-// that died meanwhile are believed for one window more, here only, since their beats do not rise for others.
+// Shifts all receive times by a gap in our own execution. A process that was suspended, or whose host
+// stalled, must not take that gap for silence of all others: it would remove everyone, report to its host
+// that it is alone and shuffle with nobody. Drawback: agents that died meanwhile count as alive here for one
+// timeout more; other agents are not affected, since those heartbeats do not rise.
 void GossipNode::compensateForPause(Instant now) {
     if (now <= lastInputAt_) return;
     const Span gap = now - lastInputAt_;
@@ -92,17 +93,18 @@
                : std::min(e.lastHeard, e.estimatedStart + heartbeatDuration(e.peer.heartbeat));
 }
 
-// Only a beat made in the last three quarters of the window is passed on: else the last beat of a dead one
-// would go from one to the next for long, and each that hears it would hold it living for one window more.
+// Only heartbeats made within the last three quarters of the timeout are forwarded. Otherwise the last
+// heartbeat of a dead agent would keep circulating, and each receiver would count it as alive for another
+// timeout.
 bool GossipNode::isFresh(const Entry& e, Instant now) const {
     return !e.peer.name.empty() && now - heartbeatTime(e) <= failureTimeout_ * 0.75;
 }
 
 void GossipNode::raiseHeartbeat(Instant now, Entry& e, uint32_t heartbeat) {
     if (heartbeat != kLeaveHeartbeat) {
-        // Crept forward a little, for clocks that run slow. Beats older than anyone passes on come from a
-        // clock that stood still, as of a machine that was suspended: they are counted anew, else nobody
-        // would pass on its beats any more.
+        // Moves forward slowly, for clocks that run slow. A heartbeat older than anyone forwards comes from a
+        // clock that stood still, as on a suspended machine: the estimate starts anew, otherwise nobody would
+        // forward its heartbeats again.
         const Instant estimatedStart = now - heartbeatDuration(heartbeat);
         e.estimatedStart =
             estimatedStart - e.estimatedStart > failureTimeout_
@@ -116,9 +118,9 @@
 uint32_t GossipNode::mergePeer(Instant now, const Peer& p, bool& isNewer) {
     isNewer = false;
     if (p.name == self_.name) {
-        // Words of a life of our name that is newer than ours: the host's clock was set back before we
-        // started, or that life left. All would ignore us for good, so we go above it. Harm: two machines
-        // that were given one name outbid each other, one step a message.
+        // Somebody knows a newer incarnation of our name: the clock of this host was set back before we
+        // started, or that incarnation left. All would ignore us for good, so we go above it. Drawback: two
+        // machines with the same name outbid each other by one step per message.
         if (p.incarnation > self_.incarnation ||
             (p.incarnation == self_.incarnation && p.heartbeat > self_.heartbeat))
             self_.incarnation = p.incarnation + 1;
@@ -129,8 +131,8 @@
     const auto found = byName_.find(p.name);
     if (found != byName_.end()) {
         Entry& e = entries_[found->second];
-        // Older words change nothing: of the dead the last (life, beat) is kept so that a frozen agent that
-        // wakes, or a late datagram, does not bring them back.
+        // Stale information changes nothing. The last (incarnation, heartbeat) of a dead agent is kept so
+        // that a resumed agent or a late datagram does not revive it.
         if (p.incarnation < e.peer.incarnation ||
             (p.incarnation == e.peer.incarnation && p.heartbeat <= e.peer.heartbeat))
             return found->second;
@@ -151,7 +153,7 @@
         }
         return found->second;
     }
-    if (byName_.size() >= kMaxEntries) {  // the one longest silent goes
+    if (byName_.size() >= kMaxEntries) {  // evict the entry that was silent longest
         uint32_t oldest = kNoEntry;
         for (uint32_t i = 0; i < entries_.size(); ++i)
             if (!entries_[i].peer.name.empty() &&
@@ -210,9 +212,9 @@
     return std::any_of(view_.begin(), view_.end(), [entry](const Neighbour& s) { return s.entry == entry; });
 }
 
-// Takes an entry into the view: where there is room, else in place of one that was just sent away (Cyclon's
-// swap, by which links move and are not lost). A third of the view stays with other zones, so that the cheap
-// preference for one's own zone does not cut the zones apart.
+// Adds an entry to the view if there is room, otherwise in place of one that was just sent to the partner
+// (the swap of Cyclon, which moves links without losing them). A third of the view is kept for other zones,
+// so that the preference for cheap traffic within the zone does not partition the zones.
 void GossipNode::offerNeighbour(Instant now, uint32_t entry, std::vector<uint32_t>& replaceable) {
     if (entry == kNoEntry || isNeighbour(entry)) return;
     const Entry& e = entries_[entry];
@@ -246,7 +248,8 @@
         const uint32_t at = mergePeer(now, p, isNewer);
         if (at == kNoEntry) continue;
         offerNeighbour(now, at, none);
-        // The core sees more than we do; but its word has no beat, so those whom we hold dead are asked.
+        // The core knows more than this agent, but names peers without a heartbeat, so peers that are dead
+        // here are probed.
         if (!isAlive(entries_[at], now) && probeQueue_.size() < 16 &&
             std::find(probeQueue_.begin(), probeQueue_.end(), at) == probeQueue_.end())
             probeQueue_.push_back(at);
@@ -290,10 +293,11 @@
     sent.resize(taken);
 }
 
-// All beats worth telling where they fit. Else three quarters of the room go to the youngest, by when the
-// beat was made and not by when it came here: these still have far to go, and each agent gets young news of
-// each other. The rest is any, so that each id is seen in time by those who lack it. Of large tables one part
-// is looked at for each message, so that the cost does not grow with the table.
+// Adds all fresh heartbeats if they fit. Otherwise three quarters of the room go to the youngest, by when the
+// heartbeat was made and not by when it arrived: these have the longest way to go, so that every agent gets
+// recent heartbeats of every other. The rest is drawn at random, so that agents that lack an id see it in
+// time. Of large tables only kMaxEntriesScanned entries are scanned per message, so that the cost does not
+// grow with the table.
 void GossipNode::addHeartbeats(Message& m, size_t room, Instant now) {
     const size_t most = room / kHeartbeatBytes;
     if (most == 0 || entries_.empty()) return;
@@ -334,7 +338,7 @@
             raiseHeartbeat(now, e, heartbeat);
             e.peer.ready = (head & (kIdMask + 1)) != 0;
         } else if (id == selfId) {
-            if (heartbeat > self_.heartbeat) ++self_.incarnation;  // as in learn()
+            if (heartbeat > self_.heartbeat) ++self_.incarnation;  // as in mergePeer()
         } else if (unknownIds.size() < kMaxWantedIds * kIdBytes) {
             appendLittleEndian(unknownIds, id, 5);
         }
@@ -383,7 +387,7 @@
         size_t room = kMaxMessageBytes -
                       std::min(kMaxMessageBytes, maxEncodedSizeWithoutLists(reply) + reply.wantedIds.size());
         std::vector<uint32_t> sent;
-        // Its word is older than what is known of its name: it must hear so to go above it, see learn().
+        // The sender is behind what is known of its name: it must learn this to go above it, see mergePeer().
         const Peer& known = entries_[from].peer;
         if (known.incarnation > m.from.incarnation ||
             (known.incarnation == m.from.incarnation && known.heartbeat == kLeaveHeartbeat)) {
@@ -405,9 +409,10 @@
         partnerSent_.clear();
     }
     std::vector<uint32_t> none;
-    offerNeighbour(now, from, none);  // one of the dead that was probed and lives
+    offerNeighbour(now, from, none);  // a probed agent that turned out to be alive
     if (m.wantedIds.empty() && unknownIds.empty()) return;
-    // Ends by itself: what was wanted comes without riders, so nothing new is wanted after it.
+    // The exchange of repairs ends: requested entries come without heartbeats, so they lead to no new
+    // requests.
     Message repair = makeMessage(Kind::repair);
     repair.wantedIds = std::move(unknownIds);
     size_t room = kMaxMessageBytes -
@@ -441,8 +446,9 @@
     } else if (rumour && options_.digestsEnabled &&
                (d.version != ownDigest_.version || d.digest != ownDigest_.digest ||
                 d.term < ownDigest_.term)) {
-        // It passes on what is old, as one that was frozen does: it is told at once. A shuffle's sender sees
-        // it in the answer. Two cannot go on so: only the one that knows more answers.
+        // The sender spreads stale information, as an agent that was suspended does, so it is corrected at
+        // once. The sender of a shuffle learns it from the reply. This can't loop: only the side that knows
+        // more answers.
         send(fromIp, makeMessage(Kind::rumour));
     }
 }
@@ -467,8 +473,8 @@
     if (!hasLeft_ && fetching_ && fetching_->ip == ip) fetchNext(now);
 }
 
-// Rumours are sent only once the configuration itself is here, so that who hears one can fetch from its
-// teller.
+// Rumours are sent only once the configuration itself is here, so that a receiver can fetch it from the
+// sender.
 void GossipNode::updateDigest(Instant now, const Digest& d) {
     if (hasLeft_) return;
     compensateForPause(now);
@@ -504,7 +510,7 @@
     if (hasLeft_ || self_.ready == is) return;
     compensateForPause(now);
     self_.ready = is;
-    ++heartbeatBase_;  // a newer beat, else the change would be taken for old word until the next second
+    ++heartbeatBase_;  // else the change would count as stale until the next second
     updateOwnHeartbeat(now);
 }
 
@@ -520,9 +526,10 @@
     return hasLeft_ ? Instant::never() : std::min(nextShuffleAt_, fetchDeadline_);
 }
 
-// Whether this round's exchange goes to another zone. Bytes between zones are dear, so the agents of a zone
-// together begin kAcross exchanges across in a round, however many they are; few of them, every third of
-// theirs. Harm if too few: a beat comes late to the other zones, and who lives there is held dead.
+// Whether this round's exchange goes to another zone. Traffic between zones is expensive, so all agents of a
+// zone together start kCrossZoneExchanges such exchanges per round, however many they are; in small zones
+// each agent does so every kCrossZoneRounds rounds. With too few, heartbeats reach other zones late and live
+// agents there count as dead.
 bool GossipNode::isCrossZoneRound() {
     if (aliveInOwnZone_ <= kCrossZoneRounds * kCrossZoneExchanges) return round_ % kCrossZoneRounds == 0;
     return randomBelow(aliveInOwnZone_) < kCrossZoneExchanges;
@@ -567,7 +574,7 @@
     updateOwnHeartbeat(now);
     if (fetching_ && now >= fetchDeadline_) fetchNext(now);
     if (now < nextShuffleAt_) return;
-    // Jitter, so that many agents started at once do not stay in step.
+    // Jitter, so that agents started at the same time do not stay in step.
     nextShuffleAt_ =
         now + options_.shuffleInterval * (0.75 + 0.5 * static_cast<double>(randomBelow(1000)) / 1000);
     ++round_;
@@ -589,7 +596,8 @@
     partnerReplied_ = true;
     std::erase_if(view_, [&](const Neighbour& s) { return !isAlive(entries_[s.entry], now); });
 
-    // The table knows more than the view: it fills the gaps that losses leave, and brings links across back.
+    // The table holds more agents than the view: use it to fill gaps that losses leave, and to restore
+    // neighbours in other zones.
     std::vector<uint32_t> none;
     size_t otherZone = 0;
     for (Neighbour& s : view_) {
@@ -614,8 +622,8 @@
         partnerReplied_ = false;
         startShuffle(now, partner_);
     }
-    // A second exchange with anybody of the zone that lives: with one only, beats reach the last of 74 agents
-    // at 30% loss too late. Fewer have no need of it.
+    // A second exchange with any live agent of the zone: with one alone, heartbeats reach the last of 74
+    // agents too late at 30% loss. Smaller fleets do not need it.
     if (failureTimeout_ > options_.baseFailureTimeout || view_.size() >= options_.viewSize) {
         for (int tries = 0; tries < kMaxDraws; ++tries) {
             const uint32_t any = static_cast<uint32_t>(randomBelow(entries_.size()));
@@ -625,8 +633,8 @@
             break;
         }
     }
-    // One of the dead is asked now and then, at all times by one that has no neighbours: both sides of a cut
-    // hold each other dead, so nobody would ever speak across it when it is mended.
+    // Probes a dead agent now and then, and in every round while there are no neighbours: both sides of a
+    // partition count each other as dead, so nobody would otherwise send across it once it has healed.
     uint32_t probe = kNoEntry;
     if (!probeQueue_.empty()) {
         probe = probeQueue_.front();
--- a/system/gossip/gossip_node.hpp
+++ b/system/gossip/gossip_node.hpp
@@ -1,10 +1,13 @@
-// How the agents beside the proxies know each other and how news goes round. No I/O, no threads, no clocks.
+// Gossip between agents: membership, failure detection and dissemination of the newest configuration and duty
+// holder. No I/O, no threads, no clocks: the host passes in `now` and messages, and pulls outputs with
+// next().
 //
-// Three ways work together: a small view of neighbours shuffled with them (who talks with whom), a table of
-// all names whose beats ride along in each shuffle (who lives), and digests of the newest configuration and
-// duty holder in each message (what is newest; gaps that lost rumours left are mended by these). Cost: about
-// two exchanges begun and two answered per agent and `every` (one in fleets no larger than the view), each
-// datagram at most kMaxBytes, whatever the number of agents.
+// Three mechanisms work together. A small partial view of neighbours, exchanged with them in shuffles
+// (Cyclon), decides who talks to whom. A table of all known agents, whose heartbeats are piggybacked on each
+// shuffle, tells who is alive. Each message carries a digest of the newest configuration and duty holder,
+// which repairs the gaps that lost rumours leave. Cost per agent and shuffleInterval: about two exchanges
+// started and two answered (one in fleets no larger than the view), each datagram at most kMaxMessageBytes,
+// whatever the number of agents.
 #pragma once
 
 #include <cstdint>
@@ -22,19 +25,21 @@
 
 namespace petrelpond::gossip {
 
-inline constexpr size_t kMaxMessageBytes =
-    1200;  // of an encoded message; one datagram that no usual path cuts in two
-inline constexpr uint32_t kLeaveHeartbeat = 0xffffffff;  // as a beat: this life ended by its own word
+// Of an encoded message: one datagram that is not fragmented on any usual path.
+inline constexpr size_t kMaxMessageBytes = 1200;
+inline constexpr uint32_t kLeaveHeartbeat = 0xffffffff;  // heartbeat value of an agent that left in order
 
+// An agent as others know it. The pair (incarnation, heartbeat) orders what is known of one name.
 struct Peer {
     std::string name, ip, zone;  // at most 64, 45 and 32 bytes; name and ip not empty
-    uint64_t incarnation = 0;    // higher: started later; given by the host
-    uint32_t heartbeat = 0;      // rises each second while it lives, set by itself only
+    uint64_t incarnation = 0;    // set by the host; higher for a later start
+    uint32_t heartbeat = 0;      // raised each second by the agent itself alone
     bool ready = false;
     MSGPACK_DEFINE(name, ip, zone, incarnation, heartbeat, ready)
 };
 
-// Newest configuration and duty holder known. Of two configurations the higher (version, digest) is newer.
+// The newest configuration and duty holder that an agent knows. Of two configurations, the one with the
+// higher (version, digest) is newer.
 struct Digest {
     int64_t version = 0;
     uint64_t digest = 0;
@@ -44,11 +49,11 @@
 };
 
 enum class Kind : uint8_t {
-    shuffle,  // begins an exchange; answered by answer
-    reply,    // answered by mend only if something is wanted by either
-    repair,   // entries that were wanted; answered by mend only if it wants something itself
-    rumour,   // a digest alone; answered by rumour only if the digest is older than one's own
-    leave,    // the sender ends
+    shuffle,  // starts an exchange; answered by reply
+    reply,    // answered by repair only if either side wants entries
+    repair,   // requested entries; answered by repair only if the receiver wants entries itself
+    rumour,   // a digest alone; answered by rumour only if it is older than the receiver's
+    leave,    // the sender is shutting down
 };
 
 struct Message {
@@ -56,23 +61,26 @@
     Peer from;
     Digest digest;
     std::vector<Peer> peers;
-    std::string heartbeats;  // 9 bytes each, low byte first: 39 bits of id and a bit for ready, then the beat
-    std::string wantedIds;   // 5 bytes each: ids of which the sender knows no name
+    std::string heartbeats;  // 9 bytes each, little-endian: 39 bits of id, 1 bit ready, 32 bits of heartbeat
+    std::string wantedIds;   // 5 bytes each: ids that the sender has no entry for
     MSGPACK_DEFINE(kind, from, digest, peers, heartbeats, wantedIds)
 };
 
 std::string encode(const Message&);
-std::optional<Message> decode(std::string_view);  // anything but a whole, bounded message: nullopt
+std::optional<Message> decode(std::string_view);  // nullopt for a malformed message or one over the limits
 
+// A datagram to be sent to the agent at `ip`.
 struct Send {
     std::string ip;
     Message message;
 };
-// Ask that agent (by stream; the host does it) for its configuration, then call know() or fetchFailed().
+// Tells the host to fetch the configuration from that agent over a stream, and then to call updateDigest() or
+// fetchFailed().
 struct Fetch {
     std::string ip;
     int64_t version = 0;
 };
+// A higher term is known, and who holds the duty in it.
 struct HolderChange {
     uint64_t term = 0;
     std::string holder;
@@ -81,46 +89,48 @@
 
 struct Options {
     Peer self;
-    uint32_t randomSeed = 1;  // seed
-    size_t viewSize = 12;
-    size_t shuffleSize = 4;
-    size_t fanout = 3;
+    uint32_t randomSeed = 1;
+    size_t viewSize = 12;    // neighbours
+    size_t shuffleSize = 4;  // neighbours sent in one shuffle
+    size_t fanout = 3;       // neighbours that a rumour is sent to
     Span shuffleInterval = Span::seconds(1);
-    Span baseFailureTimeout = Span::seconds(6);  // for up to 64 agents; see Views::window
-    Span fetchTimeout = Span::seconds(1);        // then another teller is asked
-    Span deadRetention =
-        Span::seconds(600);  // how long the dead are kept as dead, so that old words stay old
-    // Each of the next is on but in tests that show what it defends against.
+    Span baseFailureTimeout = Span::seconds(6);  // for up to 64 agents; see failureTimeout()
+    Span fetchTimeout = Span::seconds(1);        // then another source is tried
+    // How long entries of dead agents are kept, so that stale messages do not revive them.
+    Span deadRetention = Span::seconds(600);
+    // Disabled only in tests, which show what each mechanism protects against.
     bool rumoursEnabled = true;
-    bool digestsEnabled = true;  // in shuffles and answers
+    bool digestsEnabled = true;  // in shuffles and replies
     bool probesEnabled = true;
 };
 
+// The gossip state machine of one agent. Inputs queue outputs, which the host pulls with next().
 class GossipNode {
   public:
     GossipNode(Instant now, Options);
 
-    void addPeers(Instant now, const std::vector<Peer>&);  // the core named others
+    void addPeers(Instant now, const std::vector<Peer>&);  // peers named by the core
     void receive(Instant now, const std::string& fromIp, const Message&);
-    void updateDigest(Instant now,
-                      const Digest&);  // own newest: from the core, or fetched. Older words change nothing.
+    // Takes what this agent got from the core or fetched. Older values change nothing.
+    void updateDigest(Instant now, const Digest&);
     void fetchFailed(Instant now, const std::string& ip);
     void setReady(Instant now, bool);
-    void leave(
-        Instant now);  // neighbours forget at once, others as the word goes round; nothing is sent later
+    // Neighbours remove this agent at once, others as the message spreads. Nothing is sent after that.
+    void leave(Instant now);
     void tick(Instant now);
     Instant wakeAt() const;
     std::optional<Output> next();
 
-    // All heard of within window(), self included and first.
+    // All agents heard of within failureTimeout(); this agent is included and comes first.
     std::vector<Peer> livePeers(Instant now) const;
-    // Estimate of the number of living agents, self included. Up to 128 it is the size of living(). Beyond,
-    // beats come too seldom for each to rise within the window; were gaps between rises of one entry
-    // exponential, with `a` entries risen within half of the window and `b` within all of it, there would be
-    // a*a / (2a - b). At most 2b is said. It errs upwards for one window after many died at once.
+    // Estimated number of live agents, this one included. Up to 128 it is the size of livePeers(). Beyond
+    // that, heartbeats arrive too seldom for each entry to rise within the timeout. If the gaps between rises
+    // of one entry are exponential, with `a` entries raised within half of the timeout and `b` within all of
+    // it, the estimate is a*a / (2a - b), capped at 2b. It is too high for one timeout after many agents died
+    // at once.
     double estimateAlive(Instant now) const;
-    // Silence after which an agent is held dead: `forget`, times 1 + log2(n / 64) beyond 64 agents, because a
-    // datagram has room for the beats of about 80.
+    // Silence after which an agent counts as dead: baseFailureTimeout, times 1 + log2(n / 64) beyond 64
+    // agents, because a datagram has room for the heartbeats of about 80.
     Span failureTimeout() const { return failureTimeout_; }
     const Digest& digest() const { return ownDigest_; }
     std::vector<std::string> neighbours() const;  // names
@@ -129,15 +139,15 @@
     struct Entry {
         Peer peer;
         uint64_t id = 0;
-        Instant lastHeard;       // when its (life, beat) last rose here
-        Instant estimatedStart;  // least (time of hearing - beat) seen: tells how old a beat was when it came
-        uint32_t heartbeatWhenDropped =
-            0;  // its beat when it was dropped from the view for silence; 0: it was not
+        Instant lastHeard;       // when its (incarnation, heartbeat) last rose here
+        Instant estimatedStart;  // least (receive time - heartbeat) seen; dates a received heartbeat
+        // Its heartbeat when it was dropped from the view as unresponsive; 0: not dropped.
+        uint32_t heartbeatWhenDropped = 0;
     };
     struct Neighbour {
         uint32_t entry = 0;
-        uint32_t age = 0;            // shuffles since it was last contacted or came in
-        uint32_t missedReplies = 0;  // contacts in a row without an answer
+        uint32_t age = 0;            // shuffles since it was last contacted or added
+        uint32_t missedReplies = 0;  // consecutive shuffles without a reply
     };
     struct ConfigSource {
         std::string ip;
@@ -149,7 +159,7 @@
     void compensateForPause(Instant now);
     void updateOwnHeartbeat(Instant now);
     bool isAlive(const Entry&, Instant now) const;
-    Instant heartbeatTime(const Entry&) const;  // when its beat was, as far as known
+    Instant heartbeatTime(const Entry&) const;  // estimate of when its heartbeat was made
     bool isFresh(const Entry&, Instant now) const;
     uint32_t mergePeer(Instant now, const Peer&, bool& isNewer);
     void raiseHeartbeat(Instant now, Entry&, uint32_t heartbeat);
@@ -179,22 +189,22 @@
     std::mt19937 rng_;
     Instant startedAt_, lastInputAt_, nextShuffleAt_, nextExpiryAt_;
     Span failureTimeout_;
-    size_t aliveInOwnZone_ = 1;   // living agents of our zone, self included
-    uint32_t heartbeatBase_ = 0;  // beat at started_
+    size_t aliveInOwnZone_ = 1;   // live agents of this zone, self included
+    uint32_t heartbeatBase_ = 0;  // heartbeat at startedAt_
     bool hasLeft_ = false;
     uint64_t round_ = 0;
 
-    std::vector<Entry> entries_;  // an empty name: free
+    std::vector<Entry> entries_;  // an empty name marks a free entry
     std::vector<uint32_t> freeEntries_;
     std::unordered_map<std::string, uint32_t> byName_;
     std::unordered_map<uint64_t, uint32_t> byId_;
     std::vector<Neighbour> view_;
-    std::deque<uint32_t> probeQueue_;                           // named by the core though held dead here
-    uint32_t heartbeatCursor_ = 0;                              // of the rotation of riders
-    std::vector<std::pair<int64_t, uint32_t>> byHeartbeatAge_;  // scratch
+    std::deque<uint32_t> probeQueue_;                           // named by the core but dead here
+    uint32_t heartbeatCursor_ = 0;                              // where the next scan for heartbeats goes on
+    std::vector<std::pair<int64_t, uint32_t>> byHeartbeatAge_;  // scratch: (age in us, entry)
 
-    uint32_t partner_ = kNoEntry;        // of the exchange begun last
-    std::vector<uint32_t> partnerSent_;  // entries of the view that were sent to it
+    uint32_t partner_ = kNoEntry;        // of the last exchange started
+    std::vector<uint32_t> partnerSent_;  // entries of the view sent to the partner
     bool partnerReplied_ = true;
 
     Digest ownDigest_;
--- a/system/gossip/gossip_node_test.cpp
+++ b/system/gossip/gossip_node_test.cpp
@@ -1,4 +1,4 @@
-// What agents know of each other and how news goes round, in simulated time.
+// Membership, failure detection and dissemination among gossip nodes, in simulated time.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -22,7 +22,7 @@
         const double t = f.runUntil(30, [&] { return f.leastKnownShare() == 1; });
         EXPECT_LE(t, loss > 0.2 ? 20 : 10) << "seed " << seed;
         f.run(10);
-        // Nobody that lives is lost sight of, and the cost is bounded.
+        // Live agents stay known, and the traffic is bounded.
         const size_t before = f.bytes, datagramsBefore = f.datagrams;
         double least = 1;
         for (int i = 0; i < 40; ++i) {
@@ -43,7 +43,8 @@
         EXPECT_LE(left, 15) << "seed " << seed;
         f.run(60);
         for (size_t i = 0; i < gone; ++i) EXPECT_EQ(f.countBelieving(peer(i).name), 0u);
-        // Back with a higher life and beats from nought: a new one, known to all as fast as at first.
+        // A restart with a higher incarnation and heartbeats from zero is known to all as fast as a first
+        // start.
         f.start(0, 2);
         const double back = f.runUntil(60, [&] { return f.countBelieving("edge-0") == n - gone + 1; });
         EXPECT_LE(back, 10) << "seed " << seed;
@@ -86,7 +87,7 @@
                 left);
 }
 
-// How many runs of 20 leave somebody behind 20 s after a new version came up, at 30% loss.
+// Of 20 runs at 30% loss, how many leave an agent behind 20 s after a new version appeared.
 size_t countRunsLeftBehind(bool rumoursEnabled, bool digestsEnabled, double* slowest) {
     size_t bad = 0;
     for (uint32_t seed = 1; seed <= 20; ++seed) {
@@ -99,7 +100,7 @@
         *slowest = std::max(*slowest, f.runUntil(20, [&] { return f.countBehind(5) == 0; }));
         bad += f.countBehind(5) > 0;
         if (f.countBehind(5) == 0) {
-            EXPECT_EQ(f.holderChanges, 74u);  // once each
+            EXPECT_EQ(f.holderChanges, 74u);  // one per agent
         }
     }
     return bad;
@@ -151,12 +152,12 @@
     EXPECT_EQ(f.countBelieving("edge-2"), 0u);
     f.thaw(2);
     f.run(0.01);
-    // It did not take its sleep for the silence of all others, and the others do not take the dead back from
-    // it.
+    // The resumed agent did not take its pause for silence of all others, and does not revive the dead agent
+    // in others.
     EXPECT_GE(f[2].livePeers(f.now).size(), 28u);
     for (int i = 0; i < 60; ++i) {
         f.run(0.25);
-        EXPECT_LE(f.countBelieving("edge-9"), 3u);  // itself, and who had not heard the very last beat
+        EXPECT_LE(f.countBelieving("edge-9"), 3u);  // the resumed agent and those without the last heartbeat
         for (size_t k = 0; k < 30; ++k) {
             if (k == 9 || k == 2) continue;
             EXPECT_EQ(f[k].digest().version, 2);
@@ -178,10 +179,10 @@
     f.run(0.1);
     EXPECT_LE(f.countBelieving("edge-4"), 30 - near.size());
     f.run(4);
-    EXPECT_EQ(f.countBelieving("edge-4"), 0u);  // the word went round: before `forget`
+    EXPECT_EQ(f.countBelieving("edge-4"), 0u);  // the message spread before the failure timeout
     f.run(20);
     f.kill(4);
-    f.start(4, 0);  // a lower life number than before
+    f.start(4, 0);  // a lower incarnation than before
     f.run(15);
     EXPECT_EQ(f.countBelieving("edge-4"), 30u);
 }
@@ -239,7 +240,7 @@
     const std::string second = f[0].ip;
     EXPECT_NE(second, peer(1).ip);
     EXPECT_LE(v.wakeAt(), at(1.2));
-    v.tick(at(1.2));  // silence
+    v.tick(at(1.2));  // no answer
     f = takeOutputs<Fetch>(v);
     ASSERT_EQ(f.size(), 1u);
     EXPECT_NE(f[0].ip, second);
@@ -248,7 +249,7 @@
     EXPECT_EQ(v.digest().version, 4);
     takeOutputs<Fetch>(v);
     v.receive(at(1.5), peer(1).ip,
-              rumourMessage(1, {4, 0, 0, ""}));  // same version, lower digest: it is told
+              rumourMessage(1, {4, 0, 0, ""}));  // same version, lower digest: the sender is corrected
     const auto sent = takeOutputs<Send>(v);
     ASSERT_EQ(sent.size(), 1u);
     EXPECT_EQ(sent[0].ip, peer(1).ip);
@@ -267,7 +268,7 @@
     EXPECT_EQ(v.neighbours().size(), 1u);
     pass(1, 4);
     EXPECT_TRUE(v.neighbours().empty());
-    EXPECT_EQ(v.livePeers(at(4)).size(), 2u);  // though it may live
+    EXPECT_EQ(v.livePeers(at(4)).size(), 2u);  // it may still be alive
     Message m;
     m.kind = static_cast<uint8_t>(Kind::shuffle);
     m.from = peer(1);
@@ -323,7 +324,7 @@
     EXPECT_FALSE(decode(""));
     EXPECT_FALSE(decode(good + "x"));
     EXPECT_FALSE(decode(std::string(5000, '\x90')));
-    // Arrays that claim four thousand million elements, and arrays within arrays without end.
+    // Arrays that claim four billion elements, and deeply nested arrays.
     EXPECT_FALSE(decode(std::string("\xdd\xff\xff\xff\xff", 5)));
     EXPECT_FALSE(decode(std::string(1000, '\x91')));
 
--- a/system/gossip/message_codec.cpp
+++ b/system/gossip/message_codec.cpp
@@ -1,4 +1,4 @@
-// Messages to bytes and back.
+// Encoding and decoding of gossip messages.
 #include <exception>
 
 #include "system/gossip/gossip_node.hpp"
@@ -23,8 +23,8 @@
 std::optional<Message> decode(std::string_view bytes) {
     if (bytes.empty() || bytes.size() > kMaxMessageBytes) return std::nullopt;
     try {
-        // The limits keep a few changed bytes from asking for much memory or a deep recursion. Strings are
-        // left in the caller's bytes until they are converted, which is before those can go.
+        // The limits keep corrupted bytes from causing large allocations or deep recursion. Strings refer to
+        // the caller's bytes until they are converted, which happens while those are still valid.
         const msgpack::unpack_limit limits(64, 0, kMaxMessageBytes, 0, 0, 4);
         size_t end = 0;
         bool referenced = false;
@@ -43,7 +43,7 @@
         for (const Peer& p : m.peers)
             if (!isWithinLimits(p)) return std::nullopt;
         return m;
-    } catch (const std::exception&) {  // msgpack's errors of parsing, of limits and of types
+    } catch (const std::exception&) {  // parse, limit and type errors of msgpack
         return std::nullopt;
     }
 }
--- a/system/gossip/schedule_search_test.cpp
+++ b/system/gossip/schedule_search_test.cpp
@@ -1,4 +1,4 @@
-// Searches seeded schedules of agents for news that goes back or that somebody never hears.
+// Searches seeded fault schedules for digests that go back and for agents that never learn the newest one.
 #include <cstdio>
 #include <cstdlib>
 #include <map>
@@ -13,9 +13,10 @@
     return text ? std::atoi(text) : otherwise;
 }
 
-// Agents are killed, started, frozen; datagrams lost, doubled and late; the fleet cut in two; then all heals
-// but a tenth of the datagrams. Nothing known goes back within a life, nobody makes news up, the newest that
-// any living agent has is with all 30 s later, and all know exactly those who live. Empty: all held.
+// Kills, restarts and suspends agents, loses, duplicates and delays datagrams and partitions the fleet; then
+// everything heals but a loss of a tenth of the datagrams. Checks that no digest goes back within an
+// incarnation or exceeds what was published, that 30 s later all agents have the newest digest any live agent
+// had, and that all know exactly the live agents. Returns the violation, or an empty string.
 std::string runSchedule(uint32_t seed, const std::function<void(Options&)>& adjustOptions = {}) {
     std::mt19937 random(seed);
     const auto randomBelow = [&](size_t n) { return static_cast<size_t>(random() % std::max<size_t>(n, 1)); };
@@ -30,12 +31,12 @@
         for (size_t i = 0; i < f.size() && violation.empty(); ++i) {
             if (!f.isRunning(i)) continue;
             const Digest& d = f[i].digest();
-            if (d.version < seen[i].version || d.term < seen[i].term) violation = "what was known went back";
-            if (d.version > version || d.term > term) violation = "news that nobody brought";
+            if (d.version < seen[i].version || d.term < seen[i].term) violation = "a digest went back";
+            if (d.version > version || d.term > term) violation = "a digest that was never published";
             seen[i] = d;
         }
     };
-    // A core names to one that starts all that it has links to, up to 16.
+    // A core names all agents that it has links to, up to 16, to an agent that starts.
     const auto introduceAll = [&](size_t i) {
         std::vector<Peer> others;
         for (size_t k = 0; k < f.size(); ++k)
@@ -122,18 +123,18 @@
         newest.term = std::max(newest.term, f[i].digest().term);
     }
     for (size_t i = 0; i < f.size(); ++i) {
-        if (f[i].digest().version < newest.version) return "somebody lacks the newest configuration";
-        if (f[i].digest().term < newest.term) return "somebody does not know the holder";
+        if (f[i].digest().version < newest.version) return "an agent lacks the newest configuration";
+        if (f[i].digest().term < newest.term) return "an agent does not know the newest term";
     }
-    // With a tenth lost one is out of sight now and then for a moment, but no two stay so.
+    // With a tenth lost, an agent may be out of sight for a moment: wait until all know each other at once.
     f.runUntil(10, [&] { return f.leastKnownShare() == 1; });
     for (size_t i = 0; i < f.size(); ++i)
-        if (f[i].livePeers(f.now).size() != f.size()) return "somebody does not know who lives";
+        if (f[i].livePeers(f.now).size() != f.size()) return "an agent does not know exactly the live agents";
     return {};
 }
 
 TEST(ScheduleSearch, NoScheduleBreaksAnInvariant) {
-    // NEWS_SCHEDULES=10000 for a long search, NEWS_FIRST to begin elsewhere.
+    // NEWS_SCHEDULES sets the number of schedules (10000 for a long search), NEWS_FIRST the first seed.
     const int count = fromEnvironment("NEWS_SCHEDULES", 100), first = fromEnvironment("NEWS_FIRST", 1);
     for (int seed = first; seed < first + count; ++seed)
         EXPECT_EQ(runSchedule(static_cast<uint32_t>(seed)), "") << "seed " << seed;
@@ -147,12 +148,12 @@
 
 TEST(ScheduleSearch, DetectsLostRumoursWithoutDigests) {
     const int at = schedulesUntilDetected(50, [](Options& o) { o.digestsEnabled = false; });
-    std::printf("caught at %d\n", at);
+    std::printf("detected by schedule %d\n", at);
     EXPECT_GT(at, 0);
 }
 TEST(ScheduleSearch, DetectsUnhealedPartitionWithoutProbes) {
     const int at = schedulesUntilDetected(100, [](Options& o) { o.probesEnabled = false; });
-    std::printf("caught at %d\n", at);
+    std::printf("detected by schedule %d\n", at);
     EXPECT_GT(at, 0);
 }
 
--- a/system/gossip/traffic_model_test.cpp
+++ b/system/gossip/traffic_model_test.cpp
@@ -1,4 +1,5 @@
-// The model at size, for measuring: GOSSIP_MODEL=1 system_gossip_tests --gtest_filter='Model.*'.
+// Measures traffic and dissemination time at fleet size. Run on request: GOSSIP_MODEL=1 system_gossip_tests
+// --gtest_filter='Model.*'.
 #include <cmath>
 #include <cstdio>
 #include <cstdlib>
@@ -9,7 +10,7 @@
 namespace petrelpond::gossip {
 namespace {
 
-// A configuration of so many routes and services, packed as the cores send it.
+// Size in bytes of a configuration with that many routes and services, packed as the cores send it.
 size_t packedConfigurationSize(size_t routes) {
     std::mt19937 random(1);
     std::string text = "{\"config_version\":7,\"route_table\":[", services;
@@ -34,9 +35,9 @@
 }
 
 TEST(Model, TrafficAndDisseminationTime) {
-    if (!std::getenv("GOSSIP_MODEL")) GTEST_SKIP() << "for measuring: GOSSIP_MODEL=1";
+    if (!std::getenv("GOSSIP_MODEL")) GTEST_SKIP() << "a measurement, run on request: set GOSSIP_MODEL=1";
     const size_t size = packedConfigurationSize(1030);
-    std::printf("a configuration of 1,030 routes: %zu bytes packed, of 17,000: %zu\n", size,
+    std::printf("packed configuration: %zu bytes with 1,030 routes, %zu with 17,000\n", size,
                 packedConfigurationSize(17000));
     for (const size_t n : {9, 74, 460, 1000}) {
         for (const double loss : {0.0, 0.05, 0.2}) {
@@ -48,8 +49,8 @@
             const double bytesS = static_cast<double>(f.bytes - bytes) / each,
                          acrossS = static_cast<double>(f.crossZoneBytes - otherZone) / each,
                          datagramsS = static_cast<double>(f.datagrams - datagrams) / each;
-            // 2 Mbit/s out of each agent, shared by those that ask it, or what a stream gets through such
-            // losses in 40 ms there and back (1,460 bytes x 1.22 / root of the loss a round trip).
+            // Each agent has 2 Mbit/s for all fetches from it. A single stream gets at most 1,460 bytes x
+            // 1.22 / sqrt(loss) per round trip of 40 ms.
             double perS = 2e6 / 8;
             if (loss > 0) perS = std::min(perS, 1460 * 1.22 / std::sqrt(loss) / 0.04);
             const Span transferSpan = Span::seconds(static_cast<double>(size) / perS);
