--- a/system/startup/startup.cpp
+++ b/system/startup/startup.cpp
@@ -21,16 +21,16 @@
     char* loopback = nullptr;
     int checkOnly = 0, showVersion = 0, seed = 0;
     poptOption options[] = {
-        {"settings", 's', POPT_ARG_STRING, &settingsFile, 0,
-         "settings file; else $PETRELPOND_NODE_FILE names it", "FILE"},
-        {"log-level", 'l', POPT_ARG_STRING, &logLevel, 0,
-         "debug, info (unless said otherwise), warning, error", "LEVEL"},
-        {"check", 'c', POPT_ARG_NONE, &checkOnly, 0,
-         "read the settings, say what is wrong with them, and end", nullptr},
+        {"settings", 's', POPT_ARG_STRING, &settingsFile, 0, "settings file (default: $PETRELPOND_NODE_FILE)",
+         "FILE"},
+        {"log-level", 'l', POPT_ARG_STRING, &logLevel, 0, "debug, info (default), warning, error or off",
+         "LEVEL"},
+        {"check", 'c', POPT_ARG_NONE, &checkOnly, 0, "check the settings, print any problems and exit",
+         nullptr},
         {"loopback", 0, POPT_ARG_STRING, &loopback, 0,
-         "address at which proxy and agent of one machine talk, 127.0.0.1 unless said otherwise", "IP"},
-        {"seed", 0, POPT_ARG_INT, &seed, 0, "seed of all chance; else drawn", "N"},
-        {"version", 'V', POPT_ARG_NONE, &showVersion, 0, "say the version and end", nullptr},
+         "address that the proxy and the agent of a machine use (default: 127.0.0.1)", "IP"},
+        {"seed", 0, POPT_ARG_INT, &seed, 0, "random seed (default: drawn at random)", "N"},
+        {"version", 'V', POPT_ARG_NONE, &showVersion, 0, "print the version and exit", nullptr},
         POPT_AUTOHELP POPT_TABLEEND};
     poptContext parser = poptGetContext(program, argc, const_cast<const char**>(argv), options, 0);
     poptSetOtherOptionHelp(parser, "[OPTION...]");
@@ -63,7 +63,7 @@
         return fail("command line: --loopback: " + startup.loopback + ": an IPv4 address expected");
     const char* environmentFile = std::getenv("PETRELPOND_NODE_FILE");
     if (!settingsFile && !environmentFile)
-        return fail("settings: none named by --settings or PETRELPOND_NODE_FILE");
+        return fail("settings: no file given by --settings or PETRELPOND_NODE_FILE");
     startup.settingsPath = settingsFile ? settingsFile : environmentFile;
     auto read = configuration::readSettings(startup.settingsPath);
     if (auto* problem = std::get_if<network::Problem>(&read)) return fail(problem->line());
@@ -83,9 +83,9 @@
     spdlog::set_default_logger(log);
     for (const std::string& warning : startup.settings.doubts)
         spdlog::warn("settings: doubtful: {}", warning);
-    // Fixed, so that it does not rise with the largest body seen: what is large goes back to the machine when
-    // it is freed, instead of staying between small blocks in a process that is bound in memory. Harm: a
-    // system call for each large body.
+    // A fixed threshold, since glibc otherwise raises it with the largest freed block: large bodies then go
+    // back to the system when freed, instead of fragmenting the heap of a process with bounded memory.
+    // Drawback: a system call for each large body.
     mallopt(M_MMAP_THRESHOLD, 64 * 1024);
     startup.randomSeed = seed ? static_cast<uint32_t>(seed) : std::random_device{}();
     return startup;
--- a/system/startup/startup.hpp
+++ b/system/startup/startup.hpp
@@ -1,4 +1,4 @@
-// What every program of the system does first: command line, settings file, log.
+// Start-up shared by all programs of the system: command line, settings file and log.
 #pragma once
 
 #include <spdlog/spdlog.h>
@@ -14,13 +14,13 @@
 struct StartupContext {
     configuration::Settings settings;
     std::string settingsPath;
-    std::string loopback = "127.0.0.1";  // where proxy and agent of one machine talk
-    uint32_t randomSeed = 1;             // seeds every generator of the process
+    std::string loopback = "127.0.0.1";  // IPv4 address that the proxy and the agent of a machine use
+    uint32_t randomSeed = 1;             // seed of all random generators of the process
 };
 
-// Reads the words of the command line and the settings. Where the program is to end at once (a mistake,
-// --help,
-// --check) `code` is its exit code and nothing is returned. Mistakes are told in one line on standard error.
+// Parses the command line, reads the settings and sets up the log. `description` is printed by --version.
+// Returns nullopt if the program must exit at once (an error, --help, --version, --check), with `exitCode`
+// set. Errors are printed as one line on standard error.
 std::optional<StartupContext> initialize(const char* program, const char* description, int argc, char** argv,
                                          int& exitCode);
 
