--- a/system/consensus/copy_on_write_env.cpp
+++ b/system/consensus/copy_on_write_env.cpp
@@ -17,7 +17,7 @@
     return leveldb::WriteStringToFile(overlay_.get(), contents, name);
 }
 
-// Where a file is read from: what was written stands before what is in the folder.
+// The environment a file is read from: files in memory take precedence over those on disk.
 leveldb::Env& CopyOnWriteEnv::envHolding(const std::string& name) {
     return overlay_->FileExists(name) || isRemoved(name) ? *overlay_ : *target();
 }
@@ -41,7 +41,7 @@
 
 Status CopyOnWriteEnv::NewAppendableFile(const std::string& name, leveldb::WritableFile** file) {
     *file = nullptr;
-    return Status::NotSupported("append to a file that is not to be changed", name);
+    return Status::NotSupported("append to a file of a read-only database", name);
 }
 
 bool CopyOnWriteEnv::FileExists(const std::string& name) { return envHolding(name).FileExists(name); }
--- a/system/consensus/copy_on_write_env.hpp
+++ b/system/consensus/copy_on_write_env.hpp
@@ -1,7 +1,7 @@
-// A LevelDB environment in which a database is opened without a write to its folder: LevelDB can't open one
-// otherwise, and a disk that is full, or hangs, would keep a core from telling what it holds. What LevelDB
-// writes, renames and removes as it opens stays in memory, and is gone with the environment. It harms by that
-// memory: the newest log as a table, 256 kB and the values written since.
+// A LevelDB environment that opens a database without writing to its directory. LevelDB can't open one
+// read-only, and a disk that is full or hangs would keep a core from telling what it holds. Files that
+// LevelDB writes, renames and removes while opening stay in memory and are gone with the environment.
+// Drawback: the memory for that, which is the newest log as a table, 256 kB plus the values written since.
 #pragma once
 
 #include <leveldb/env.h>
@@ -14,13 +14,13 @@
 
 namespace petrelpond::consensus {
 
-// For one database, which nobody else writes meanwhile; outlives it.
+// For a single database that nobody else writes to meanwhile. Must outlive the database.
 class CopyOnWriteEnv final : public leveldb::EnvWrapper {
   public:
     CopyOnWriteEnv();
     ~CopyOnWriteEnv() override;
 
-    // From now on `contents` stands in the place of that file.
+    // From now on the file is read as `contents`.
     leveldb::Status replaceContents(const std::string& name, const std::string& contents);
 
     leveldb::Status NewSequentialFile(const std::string& name, leveldb::SequentialFile** file) override;
@@ -42,7 +42,7 @@
     bool isRemoved(const std::string& name);
 
     std::unique_ptr<leveldb::Env> overlay_;
-    std::mutex mutex_;  // LevelDB removes files from a thread of its own
+    std::mutex mutex_;  // LevelDB removes files from a background thread
     std::set<std::string> removedNames_;
 };
 
--- a/system/consensus/directory_sync_env.cpp
+++ b/system/consensus/directory_sync_env.cpp
@@ -11,6 +11,7 @@
 namespace petrelpond::consensus {
 namespace {
 
+// A file whose Sync() first syncs pending changes of names in the directory.
 class DirectorySyncedFile final : public leveldb::WritableFile {
   public:
     DirectorySyncedFile(DirectorySyncEnv& env, leveldb::WritableFile* file) : env_(env), file_(file) {}
@@ -50,7 +51,7 @@
         const bool created = !std::filesystem::is_directory(current, error) &&
                              std::filesystem::create_directory(current, error);
         if (!created && !std::filesystem::is_directory(current, error))
-            return "make " + current.string() + ": " + error.message();
+            return "create " + current.string() + ": " + error.message();
         if (!syncDirectory(parent) && created) return "sync " + parent.string() + ": " + std::strerror(errno);
     }
     return {};
@@ -88,15 +89,15 @@
     return wrapFile(target()->NewAppendableFile(name, file), file);
 }
 
-// Not synced here: were the sync to fail, LevelDB would take the rename for undone and remove the manifest
-// that CURRENT may name by now.
+// Not synced here: if the sync failed, LevelDB would take the rename as undone and remove the manifest that
+// CURRENT may already name.
 leveldb::Status DirectorySyncEnv::RenameFile(const std::string& from, const std::string& to) {
     leveldb::Status status = target()->RenameFile(from, to);
     if (status.ok()) markChanged();
     return status;
 }
 
-// What can't be removed in this order stays; LevelDB tries again as it opens the next time.
+// A file that can't be removed in this order stays; LevelDB tries again at the next open.
 leveldb::Status DirectorySyncEnv::RemoveFile(const std::string& name) {
     const leveldb::Status directorySynced = syncPendingChanges();
     return directorySynced.ok() ? target()->RemoveFile(name) : directorySynced;
--- a/system/consensus/directory_sync_env.hpp
+++ b/system/consensus/directory_sync_env.hpp
@@ -1,12 +1,12 @@
-// A LevelDB environment for disks on which power takes back each change of a name that its folder's sync has
-// not covered, one by one and in any order.
+// A LevelDB environment for disks on which a loss of power may undo any change of a file name (create,
+// rename, remove) that no sync of the directory has covered, one by one and in any order.
 //
-// LevelDB syncs its files, and the folder only with the manifest. So after an open the rename to CURRENT
-// could be lost and the removal of the manifest that the former CURRENT names be kept, which makes the
-// database unreadable; and a record that was synced to a new log was gone where the log's name was (issue
-// 68). Here two orders hold: no file's contents are certain before the names made until then, and no file is
-// removed before. It harms by one sync of the folder after each open and for each new log, some 256 kB of
-// records.
+// LevelDB syncs its files, but the directory only along with the manifest. After an open, the rename to
+// CURRENT could be lost while the removal of the manifest that the former CURRENT names was kept, which makes
+// the database unreadable; and a record synced to a new log was gone when the name of the log was lost (issue
+// 68). This environment keeps two rules: contents of a file are synced only after all names created until
+// then, and a file is removed only after them too. Drawback: one sync of the directory after each open and
+// for each new log, that is about every 256 kB of records.
 #pragma once
 
 #include <leveldb/env.h>
@@ -17,18 +17,20 @@
 
 namespace petrelpond::consensus {
 
-// Makes the names in a folder certain. False with errno where that failed.
+// Makes the names in a directory durable. Returns false with errno set on failure.
 bool syncDirectory(const std::filesystem::path& directory);
 
-// Makes a folder with those above it, and all their names certain. Empty: done; else why not.
+// Creates a directory and its missing parents, and makes all their names durable. Returns an empty string on
+// success, otherwise the error.
 //
-// Against a state that is lost with the folder that the first start made for it: that folder's own name
-// stands in the one above. All of them up to the root, made now or not: a former life may have ended between
-// making a folder and syncing its name. Where a folder that was there already can't be synced it is the
-// host's, and its name is as well.
+// The state would be lost together with the directory that the first start created for it, since the name of
+// a directory is stored in its parent. Every parent up to the root is synced, created now or not: an earlier
+// process may have ended between creating a directory and syncing its name. A failure to sync the parent of a
+// directory that existed already is ignored: that directory is the host's, and its name is taken to be
+// durable.
 std::string createDurableDirectories(const std::filesystem::path& directory);
 
-// For one database; outlives it.
+// For a single database. Must outlive it.
 class DirectorySyncEnv final : public leveldb::EnvWrapper {
   public:
     explicit DirectorySyncEnv(std::filesystem::path directory);
@@ -38,7 +40,7 @@
     leveldb::Status RenameFile(const std::string& from, const std::string& to) override;
     leveldb::Status RemoveFile(const std::string& name) override;
 
-    // Returns once all names made until now are certain; at once where nothing changed.
+    // Returns once all names created until now are durable; at once if nothing changed.
     leveldb::Status syncPendingChanges();
 
   private:
@@ -46,7 +48,7 @@
     void markChanged();
 
     const std::filesystem::path directory_;
-    std::mutex mutex_;  // held through a sync: who comes second must not go on before it is over
+    std::mutex mutex_;  // held during a sync: a second caller must not return before it is done
     bool hasUnsyncedChanges_ = false;
 };
 
--- a/system/consensus/discard.cpp
+++ b/system/consensus/discard.cpp
@@ -1,6 +1,5 @@
-// Against power lost midway: a part of the files is another, older database to LevelDB, and its records would
-// come back as if they had never been given up. So a mark is certain before the first file goes, and it goes
-// last.
+// If power is lost midway, LevelDB would take the remaining files for an older database and bring discarded
+// records back. So a marker is made durable before the first file is removed, and is itself removed last.
 #include "system/consensus/discard.hpp"
 
 #include <fcntl.h>
@@ -37,8 +36,8 @@
         return std::string(step) + " " + directory.string() + ": " + std::strerror(errno);
     };
     const std::filesystem::path marker = directory / kDiscardMarkerName;
-    // By a rename where it can be, which needs no room: else a full disk would stay full of what is of no
-    // use.
+    // Creates the marker by renaming CURRENT if possible, which needs no space: otherwise a disk full of a
+    // discarded database would stay full.
     const bool renamed = ::rename((directory / "CURRENT").c_str(), marker.c_str()) == 0;
     if ((!renamed && !createSyncedFile(marker)) || !syncDirectory(directory)) return failed("mark");
     std::error_code error;
--- a/system/consensus/discard.hpp
+++ b/system/consensus/discard.hpp
@@ -1,4 +1,4 @@
-// Emptying a database's folder so that no loss of power brings a part of it back.
+// Empties the directory of a database so that no loss of power brings part of it back.
 #pragma once
 
 #include <filesystem>
@@ -6,11 +6,11 @@
 
 namespace petrelpond::consensus {
 
-// Whether a discard() of this folder was cut short: what still stands there is of no use.
+// Whether an earlier discardDatabase() was interrupted, so that the remaining files must not be used.
 bool isDiscardInProgress(const std::filesystem::path& directory);
 
-// Removes all files of the folder and leaves it empty. What was done is certain on return. Empty: done; else
-// why not.
+// Removes all files in the directory; this is durable on return. Returns an empty string on success,
+// otherwise the error.
 std::string discardDatabase(const std::filesystem::path& directory);
 
 }  // namespace petrelpond::consensus
--- a/system/consensus/disk_rollback.cpp
+++ b/system/consensus/disk_rollback.cpp
@@ -1,15 +1,15 @@
-// Against a disk that is put back to an earlier state, as from a copy of its folder: it has the same birth
-// and has forgotten what it promised since, so as a member it would help a majority to forget, or vote twice
-// in a term.
+// Detects a disk that was rolled back to an earlier state, for example restored from a copy of its directory.
+// It has the same birth but has forgotten what it promised since, so as a member it could help a majority to
+// forget, or vote twice in a term.
 //
-// Each save raises a count on the disk, which every message tells once it is synced. Others remember the
-// highest that they heard of each disk, and write it down with their own next save, which costs no sync of
-// its own. A core that starts with a disk takes part only after so many members have answered its hello that,
-// with it, they are a majority, and none of them has heard of a higher count than its own. Else its disk
+// Each save raises a counter on the disk, which every message carries once it is synced. Other cores remember
+// the highest counter they heard of for each disk, and store it with their own next save, so it costs no
+// extra sync. A core that starts with a disk takes part only after enough members have answered its hello to
+// form a majority together with it, and none of them knows a higher counter than its own. Otherwise its disk
 // counts as lost.
 //
-// It harms by one round trip at each start. It does not find a disk that was put back to a state which none
-// of those that answer have heard of later; a copy from an earlier day is older than that.
+// Drawback: one round trip at each start. A rollback to a state that none of the answering members has heard
+// a later counter of is not detected; a copy from an earlier day is older than that.
 #include "system/consensus/core_parts.hpp"
 
 namespace petrelpond::consensus {
@@ -17,7 +17,7 @@
 void Core::checkAge(Instant now, const NodeId& from, const Message& m) {
     if (o_.defect == Defect::trustsOldDisk) ageChecked_ = true;
     if (ageChecked_ || mem_.recovering || mem_.voters.empty()) return;
-    // A late word of an earlier disk of this machine says nothing of this one.
+    // A late message about an earlier disk of this machine says nothing about the present one.
     if (m.knownBirth == mem_.birth && m.knownSaves > mem_.saves) return treatAsLost(now);
     if (isVoter(from)) vouchers_.insert(from);
     ageChecked_ = vouchers_.size() + 1 >= majority();
--- a/system/consensus/disk_rollback_test.cpp
+++ b/system/consensus/disk_rollback_test.cpp
@@ -1,4 +1,4 @@
-// Disks that are put back to an earlier state.
+// Detection of disks that were rolled back to an earlier state.
 #include <gtest/gtest.h>
 
 #include "system/consensus/sim_for_test.hpp"
@@ -6,8 +6,9 @@
 namespace petrelpond::consensus {
 namespace {
 
-// A disk is put back to what it held before a hundred changes, as from a copy of its folder: nothing that was
-// acknowledged goes back, and the machine rebuilds as from a lost disk. Also where all lose power at once.
+// Rolls a disk back to its contents before a hundred changes, as if restored from a copy: no acknowledged
+// write may be lost, and the machine must rebuild as after losing its disk. With `powerLost`, all machines
+// lose power at that moment too.
 std::string rollBackDisk(Defect defect, bool powerLost) {
     sim::Plan plan{11, 3, 1, defect, false, 30, true};
     plan.spans = true;
@@ -22,7 +23,7 @@
         if (!isolated) w.cut_.clear();
     };
     w.at(sim::World::millis(6000), [&] { copy = w.nodes_[0].disk; });
-    // One has missed the last of the changes when the disk of another goes back.
+    // Node 1 misses the last changes before the disk of node 0 is rolled back.
     w.at(sim::World::millis(18000), [&] { isolate(1, true); });
     w.at(sim::World::millis(24000), [&] {
         if (powerLost) w.powerLoss();
@@ -33,7 +34,7 @@
         w.start(0, false);
         w.start(1, false);
         w.at(sim::World::millis(3000), [&] {
-            if (w.nodes_[0].disk->birth == copy->birth) failure = "an old disk is taken for the newest";
+            if (w.nodes_[0].disk->birth == copy->birth) failure = "a rolled back disk was trusted";
             w.start(2, false);
         });
     });
--- a/system/consensus/durable_record.cpp
+++ b/system/consensus/durable_record.cpp
@@ -10,8 +10,8 @@
 namespace petrelpond::consensus {
 namespace {
 
-// Checksum, then the content. Against a disk that hands back other bytes than it got; LevelDB checks its
-// blocks, this also catches an older block in the place of a newer.
+// Prepends a checksum, against a disk that returns other bytes than were written. LevelDB checks its blocks;
+// this also detects an older block in place of a newer one.
 std::string addChecksum(std::string_view content) {
     const uint64_t checksum = XXH3_64bits(content.data(), content.size());
     std::string s(sizeof checksum + content.size(), '\0');
@@ -32,8 +32,7 @@
 constexpr size_t kValueHeaderBytes = sizeof(int64_t) + sizeof(uint64_t);
 
 constexpr uint32_t kStateFields = 21;
-constexpr uint32_t kStateFieldsBeforeBallots =
-    17;  // of disks written before versions were decided by ballots
+constexpr uint32_t kStateFieldsBeforeBallots = 17;  // on disks written before ballots decided versions
 
 }  // namespace
 
--- a/system/consensus/durable_record.hpp
+++ b/system/consensus/durable_record.hpp
@@ -1,6 +1,6 @@
-// The two records in which a core's state lies on its disk, as bytes: the value, which is long and changes
-// rarely, and the rest, with the mark of the value that belongs to it. Each begins with an XXH3 checksum of
-// what follows.
+// Encoding of the two records that hold a core's state on disk: the value, which is long and changes rarely,
+// and the state record with everything else, including the version and digest of the value it belongs to.
+// Each record starts with an XXH3 checksum of what follows.
 #pragma once
 
 #include <optional>
@@ -12,12 +12,12 @@
 namespace petrelpond::consensus {
 
 std::string packValueRecord(const Value&);
-// Nothing where the checksum or the length is wrong. The ballot stands with the rest.
+// nullopt if the checksum or the length is wrong. The ballot is not set: it is part of the state record.
 std::optional<Value> unpackValueRecord(std::string_view record);
 
-// All but the value's body.
+// Everything but the value's body.
 std::string packStateRecord(const Durable&);
-// Nothing where the checksum is wrong, or the record is of no form that was ever written.
+// nullopt if the checksum is wrong or the record has none of the known formats.
 std::optional<Durable> unpackStateRecord(std::string_view record);
 
 }  // namespace petrelpond::consensus
--- a/system/consensus/power_loss_test.cpp
+++ b/system/consensus/power_loss_test.cpp
@@ -1,4 +1,4 @@
-// What a loss of power at any moment leaves on a core's disk is at least what the core has told others of.
+// After a loss of power at any moment, a core finds at least the state that it had announced to others.
 #include <gtest/gtest.h>
 #include <poll.h>
 #include <sys/eventfd.h>
@@ -18,19 +18,19 @@
 
 using Found = network::Result<std::optional<Durable>>;
 
-constexpr size_t kLossesEach = 16;  // ways of losing power that are tried at one moment
+constexpr size_t kLossesEach = 16;  // power losses simulated at each recorded moment
 
-// What all the losses of power did that were tried at the moments of one recording.
+// Outcome of all power losses simulated for one recording.
 struct Tally {
     size_t tested = 0, failed = 0;
-    std::string first = {};  // of those that broke
+    std::string first = {};  // description of the first failure
 };
 
 std::string describe(const DiskMoment& moment, const PowerLoss& loss) {
-    std::string text = "told " + std::to_string(moment.told) + "; not synced:";
+    std::string text = "announced " + std::to_string(moment.told) + "; not synced:";
     for (size_t i = 0; i < moment.uncertain.size(); ++i) {
         const NameChange& change = moment.uncertain[i];
-        const char* const words[] = {" made ", " renamed to ", " removed "};
+        const char* const words[] = {" created ", " renamed to ", " removed "};
         text += std::string(loss.kept[i] ? " kept" : " lost") + words[change.kind] + change.name + ";";
     }
     return text;
@@ -80,8 +80,9 @@
         }
     }
 
-    // Lets power go at every recorded moment in several ways, and starts a core on what is left each time.
-    // below: where the core's data folder is. good(moment, loss, found): whether it found what it must.
+    // Simulates several power losses at every recorded moment, and loads the state from what each leaves.
+    // `subdirectory` is where the data directory is; isAcceptable(moment, loss, found) tells whether the
+    // loaded state is right.
     template <typename Good>
     Tally testAllLosses(RecordedDisk& recorded, Tally tally, const fs::path& subdirectory,
                         const Good& isAcceptable) {
@@ -103,8 +104,9 @@
         return store.takeLoaded();
     }
 
-    // In the newest log, of several records: what was synced is not there any more, and what lies before it
-    // still is. In a log of one record it would pass for a torn end.
+    // Damages synced data at the start of the newest log, while what lies before it, in the table, stays
+    // intact. The log must hold several records: in a log with a single record the damage would count as a
+    // torn end.
     static void damage(const fs::path& directory) {
         fs::path newest;
         for (const auto& entry : fs::directory_iterator(directory))
@@ -114,7 +116,7 @@
         file.write("damage", 6);
     }
 
-    // One life of a core on this disk: it starts, and saves so often. Returns what others were told of.
+    // One run of a core on this disk: it starts, saves that many times and announces each saved state.
     void runLife(const fs::path& directory, uint64_t told, int saves) {
         StateStore store(directory, wake_);
         for (int i = 0; i < saves; ++i) {
@@ -130,20 +132,20 @@
     std::mt19937 random_{numberFromEnvironment("POWER_SEED", 1)};
 };
 
-// Against issue 68: LevelDB replaces its manifest at each open and renames, removes and makes files without
-// syncing the folder; power that was lost soon after left a CURRENT that named a removed manifest, or a
-// folder without the newest log.
+// Issue 68: LevelDB replaces its manifest at each open, and renames, removes and creates files without
+// syncing the directory. A loss of power soon after left a CURRENT that named a removed manifest, or a
+// directory without the newest log.
 TEST_F(PowerLossTest, AnnouncedStateSurvivesLostNameChanges) {
-    const uint32_t lives = numberFromEnvironment("POWER_LIVES", 6);
+    const uint32_t runs = numberFromEnvironment("POWER_LIVES", 6);
     uint64_t told = 0;
     Tally tally;
-    for (uint32_t life = 0; life < lives; ++life) {
-        const fs::path disk = root_ / ("disk-" + std::to_string(life));
+    for (uint32_t run = 0; run < runs; ++run) {
+        const fs::path disk = root_ / ("disk-" + std::to_string(run));
         RecordedDisk recorded(disk);
         recorded.told(told);
         runLife(disk, told, static_cast<int>(random_() % 16));
-        // The next life begins where one of these losses left the disk, drawn at random.
-        const fs::path next = root_ / ("disk-" + std::to_string(life + 1));
+        // The next run starts from what one of these losses left, drawn at random.
+        const fs::path next = root_ / ("disk-" + std::to_string(run + 1));
         size_t candidates = 0;
         told = 0;
         tally = testAllLosses(recorded, tally, "",
@@ -157,13 +159,12 @@
                               });
         fs::remove_all(disk);
     }
-    std::printf("%u lives, %zu losses of power, %zu took back what was told\n", lives, tally.tested,
-                tally.failed);
+    std::printf("%u runs, %zu power losses, %zu lost announced state\n", runs, tally.tested, tally.failed);
     EXPECT_EQ(tally.failed, 0u) << tally.first;
 }
 
-// Against a folder for the state that the first start makes: its own name is certain only once the folder
-// above it is synced, and that one's likewise.
+// The first start creates the directory for the state: its name is durable only once the parent directory is
+// synced, and so on for each parent.
 TEST_F(PowerLossTest, AnnouncedStateSurvivesInNewlyCreatedDirectories) {
     const fs::path disk = root_ / "disk", subdirectory = "machine/control-plane";
     RecordedDisk recorded(disk);
@@ -172,12 +173,12 @@
                                       [](const DiskMoment& moment, const PowerLoss&, const Found& found) {
                                           return moment.told == 0 || savesOf(found) >= moment.told;
                                       });
-    std::printf("%zu losses of power, %zu took back what was told\n", tally.tested, tally.failed);
+    std::printf("%zu power losses, %zu lost announced state\n", tally.tested, tally.failed);
     EXPECT_EQ(tally.failed, 0u) << tally.first;
 }
 
-// Against a folder that counts as lost and is emptied: a part of its files is an older database, with
-// promises that were given up.
+// A database that counts as lost is discarded. A subset of its files is an older database with promises that
+// were given up, so it must never be loaded again.
 TEST_F(PowerLossTest, DiscardedDatabaseNeverReturns) {
     const fs::path disk = root_ / "disk";
     uint64_t told = 0;
@@ -186,7 +187,7 @@
         while (told < 12) ASSERT_TRUE(save(store, stateOf(++told, 40000)));  // a table and a log
     }
     damage(disk / StateStore::kDirectoryName);
-    const uint64_t formerBirth = birth_++;
+    const uint64_t discardedBirth = birth_++;
     RecordedDisk recorded(disk);
     {
         StateStore store(disk, wake_);
@@ -199,14 +200,14 @@
     const Tally tally =
         testAllLosses(recorded, {}, "", [&](const DiskMoment& moment, const PowerLoss&, const Found& found) {
             const auto* whole = std::get_if<std::optional<Durable>>(&found);
-            const bool former = whole && *whole && (*whole)->birth == formerBirth;
-            return !former && (moment.told == 0 || savesOf(found) >= moment.told);
+            const bool isDiscarded = whole && *whole && (*whole)->birth == discardedBirth;
+            return !isDiscarded && (moment.told == 0 || savesOf(found) >= moment.told);
         });
-    std::printf("%zu losses of power, %zu brought the former state back\n", tally.tested, tally.failed);
+    std::printf("%zu power losses, %zu brought discarded state back\n", tally.tested, tally.failed);
     EXPECT_EQ(tally.failed, 0u) << tally.first;
 }
 
-// Against a disk that is full of a database of no use: the mark needs no new file.
+// A disk full of a database that must be discarded: creating the marker must need no new file.
 TEST_F(PowerLossTest, DiscardsDatabaseOnAFullDisk) {
     const fs::path disk = root_ / "disk";
     {
@@ -217,7 +218,7 @@
     RecordedDisk recorded(disk);
     StateStore store(disk, wake_);
     ASSERT_TRUE(std::holds_alternative<network::Problem>(store.takeLoaded()));
-    recorded.refuseNewFiles(true);  // not before: a disk that is full at the start is waited for
+    recorded.refuseNewFiles(true);  // not earlier: at the start the store waits for a full disk
     EXPECT_FALSE(save(store, stateOf(1)));
     uint64_t left = 0;
     for (const auto& entry : fs::directory_iterator(disk / StateStore::kDirectoryName))
@@ -227,8 +228,8 @@
     EXPECT_TRUE(save(store, stateOf(2)));
 }
 
-// Against a state that a process was killed in the midst of writing, and that the next life finds in the
-// host's memory alone: what is found is told, and the next loss of power takes it back.
+// A process was killed during a write, and its successor finds the state in the page cache only. It announces
+// that state, so the next loss of power must not remove it.
 TEST_F(PowerLossTest, LoadedStateIsDurable) {
     const fs::path disk = root_ / "disk";
     RecordedDisk recorded(disk);
@@ -248,7 +249,7 @@
     EXPECT_EQ(tally.failed, 0u) << tally.first;
 }
 
-// Against a disk that stumbles at the start beside one that is really lost.
+// A transient read error at the start must not count as a lost disk, as another disk may really be lost.
 TEST_F(PowerLossTest, TransientReadErrorIsNotALostDisk) {
     const fs::path disk = root_ / "disk";
     {
--- a/system/consensus/promised_ballots_test.cpp
+++ b/system/consensus/promised_ballots_test.cpp
@@ -1,4 +1,4 @@
-// What an acceptor remembers of its promises is bounded, and never keeps it from promising more.
+// The promises that an acceptor remembers are bounded, which never keeps it from promising more.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -10,9 +10,9 @@
 namespace petrelpond::consensus {
 namespace {
 
-// One core has lost its disk and waits for another that is dark, so nothing is written for ten seconds, while
-// operators hand in one version after the other at the core that is left. Nothing: once all are back, writes
-// are done.
+// One core lost its disk and waits for another that is down, so nothing can be written for ten seconds while
+// operators submit one version after another to the remaining core. Returns an empty string if writes succeed
+// once all are back.
 std::string manyVersionsWithoutAMajority(uint32_t seed, Defect defect = Defect::none) {
     sim::Plan plan{seed, 3, 1, defect, false, 25, true};
     plan.spans = true;
@@ -43,12 +43,12 @@
     EXPECT_EQ(broken, "no writes done after all has healed");
 }
 
-// Whatever leaves the list, and however often lists are joined: no version's promise ever falls.
+// No promise for a version ever decreases, whatever is evicted and however often lists are merged.
 TEST(PromisedBallots, PromisesNeverDecrease) {
     std::mt19937 random(1);
     for (int run = 0; run < 200; ++run) {
         PromisedBallots mine, other;
-        std::map<int64_t, uint64_t> promised;  // the least that `mine` has to remember
+        std::map<int64_t, uint64_t> promised;  // lower bounds for what `mine` must report
         int64_t held = 0;
         for (int i = 0; i < 400; ++i) {
             const int64_t version = held + 1 + static_cast<int64_t>(random() % 200);
@@ -63,7 +63,7 @@
                 mine.mergeHigher(other, held);
                 for (int64_t each = held + 1; each <= held + 250; ++each)
                     promised[each] = std::max(promised[each], other.promisedFor(each));
-            } else {  // a text is accepted under the ballot that was promised
+            } else {  // accept a text under the promised ballot
                 held = version;
                 mine.promise(version, mine.promisedFor(version), held);
                 promised[version] = mine.promisedFor(version);
--- a/system/consensus/state_store.cpp
+++ b/system/consensus/state_store.cpp
@@ -54,18 +54,18 @@
     options.env = env_.get();
     leveldb::DB* db = nullptr;
     leveldb::Status status = leveldb::DB::Open(options, directory_.string(), &db);
-    // What was left out as the state was read, see readKeptState().
+    // Removes for good the torn ends that readStoredState() skipped.
     if (status.IsCorruption() && truncateTornLogs(directory_) > 0)
         status = leveldb::DB::Open(options, directory_.string(), &db);
     if (!status.ok()) {
-        // Every Save is whole, so a database damaged while we run may be begun anew. Should we die in
-        // between, the mark of discard() says so, and the disk counts as lost, which is true.
+        // Every Save is complete, so a database that got damaged while we run may be replaced. If the process
+        // dies in between, the marker of discardDatabase() makes the disk count as lost, which is correct.
         if (status.IsCorruption()) mustDiscard_ = true;
         return "open " + directory_.string() + ": " + status.ToString();
     }
     db_.reset(db);
-    // Against a new folder that a power loss removes again although what lies in it was synced. Each time:
-    // the life before may have died between making the folder and this.
+    // Without this, a loss of power could remove a new directory although its contents were synced. Done at
+    // every open: an earlier process may have died between creating the directory and syncing its parent.
     if (!syncDirectory(dataDirectory_)) {
         db_.reset();
         return "sync " + dataDirectory_.string() + ": " + std::strerror(errno);
@@ -73,9 +73,9 @@
     return {};
 }
 
-// Against a disk that takes no writes as we start, where what is read can't be made certain: it is neither
-// lost nor damaged, so we wait, and count as away. It harms where the disk never takes a sync again: this
-// machine then waits until it is given another.
+// Waits while the loaded files can't be synced, as on a disk that takes no writes at the start. Such a disk
+// is neither lost nor damaged, and this core counts as away meanwhile. Drawback: if the disk never takes a
+// sync again, this machine waits until it gets another disk.
 void StateStore::waitUntilSynced(const RetryWait& waitBeforeRetry) {
     for (std::string reason = syncDatabaseFiles(directory_); !reason.empty() && areFilesReadable(directory_);
          reason = syncDatabaseFiles(directory_))
@@ -100,8 +100,8 @@
     }
     mustDiscard_ = true;
     const auto* damage = std::get_if<Damaged>(&state);
-    return network::Problem{"read the kept state", directory_.string(),
-                            damage ? damage->reason : "can't be read: " + std::get<Unreadable>(state).reason};
+    return network::Problem{"read the stored state", directory_.string(),
+                            damage ? damage->reason : "unreadable: " + std::get<Unreadable>(state).reason};
 }
 
 std::string StateStore::write(const Save& save) {
@@ -109,22 +109,22 @@
         std::string reason = open();
         if (!reason.empty()) return reason;
     }
-    // The ballot stands with the rest: the same text under another ballot is not written again.
+    // The ballot is part of the state record: the same text under another ballot is not written again.
     const Mark mark{save.state.value.version, 0, save.state.value.digest};
     std::string stateRecord = packStateRecord(save.state);
-    leveldb::WriteBatch batch;  // both parts or neither
+    leveldb::WriteBatch batch;  // both records or neither
     const bool isNewValue = mark.version > 0 && (!isStored_ || mark != storedValue_);
     if (isNewValue) batch.Put(kValueKey, packValueRecord(save.state.value));
     if (!isStored_ || stateRecord != storedState_) {
         batch.Put(kStateKey, stateRecord);
     } else if (!isNewValue) {
-        return {};  // it lies there already
+        return {};  // already stored
     }
     leveldb::WriteOptions options;
     options.sync = true;
     const leveldb::Status status = db_->Write(options, &batch);
     if (!status.ok()) {
-        // After a failed write LevelDB takes no more; and what of it lies on disk is not known.
+        // After a failed write LevelDB accepts no more, and how much of it is on disk is unknown.
         db_.reset();
         isStored_ = false;
         return "write " + directory_.string() + ": " + status.ToString();
@@ -163,7 +163,7 @@
         const bool ok = reason.empty();
         outcomes_.push_back({save.token, ok, std::move(reason)});
         const uint64_t one = 1;
-        // A full counter wakes the caller just as well.
+        // The result is ignored: a saturated counter wakes the caller as well.
         [[maybe_unused]] const auto written = ::write(wakeFd_, &one, sizeof one);
     }
 }
--- a/system/consensus/state_store.hpp
+++ b/system/consensus/state_store.hpp
@@ -1,4 +1,4 @@
-// Brings what a Core has to save to disk: one thread that owns a LevelDB database in a folder of its own.
+// Writes the durable state of a Core to disk: one thread that owns a LevelDB database in its own directory.
 #pragma once
 
 #include <chrono>
@@ -28,48 +28,47 @@
 class StateStore {
   public:
     struct Outcome {
-        uint64_t token = 0;  // this Save and all before it
-        bool ok = false;     // on disk and synced; else hand it to Core::saveFailed
-        std::string error;   // if not ok
+        uint64_t token = 0;  // covers this Save and all before it
+        bool ok = false;     // synced to disk; if false, call Core::saveFailed
+        std::string error;   // set if not ok
     };
 
-    // The folder below dataDir. It keeps the name that it had in the first version: under another one the
-    // disks that are in service would look empty, and each of their machines would count as one that lost its
-    // disk.
+    // Name of the directory below dataDirectory. It keeps the name of the first version: with another name
+    // the disks in service would look empty, and every machine would count as one that lost its disk.
     static constexpr const char* kDirectoryName = "muir";
 
-    // So often a disk is asked again for bytes that it does not give, at pauses of kReadAgain, before it
-    // counts as lost. Harm: if too few, a disk that stumbles is one loss more; if too many, this core is away
-    // for so long where its disk is gone, though others could rebuild it.
+    // How often a disk that can't be read is read, with pauses of kReadRetryDelay, before it counts as lost.
+    // If too few, a transient error costs a disk; if too many, a core whose disk is gone stays away that
+    // long, although others could rebuild it.
     static constexpr int kMaxReadAttempts = 50;
     static constexpr auto kReadRetryDelay = std::chrono::milliseconds(200);
 
-    // Waits for kReadAgain.
+    // Sleeps for kReadRetryDelay.
     static void waitReadRetryDelay(const std::string& reason);
 
-    // Reads what dataDir/kFolder holds, without writing there. `wake` is an eventfd of the caller, which
-    // outlives the Keeper; it is written when collect() has something. `pause` waits a moment, where the disk
-    // does not give what it holds yet; it is told why.
+    // Loads what dataDirectory/kDirectoryName holds, without writing there. `wakeFd` is an eventfd of the
+    // caller that outlives the StateStore; it is written when takeOutcomes() has something. `waitBeforeRetry`
+    // is called with the reason while the disk can't be read or synced yet, and must wait a moment.
     using RetryWait = std::function<void(const std::string& reason)>;
     StateStore(std::filesystem::path dataDirectory, int wakeFd,
                const RetryWait& waitBeforeRetry = waitReadRetryDelay);
-    ~StateStore();  // writes what is still pending
+    ~StateStore();  // writes a Save that is still pending
     StateStore(const StateStore&) = delete;
     StateStore& operator=(const StateStore&) = delete;
 
-    // What was found at the start, once: nullopt for an empty disk, a Problem for a damaged one. Either way
-    // the disk has forgotten what it promised, and the Core gets nullopt; the first save() begins the folder
-    // anew.
+    // What was loaded at the start, to be called once: nullopt for an empty disk, a Problem for a damaged or
+    // unreadable one. In both cases the disk has forgotten its promises and the Core must get nullopt; the
+    // first save() after a Problem discards the database and starts a new one.
     network::Result<std::optional<Durable>> takeLoaded() { return std::move(loaded_); }
 
-    void save(Save save);                 // from any thread; only the newest pending one is written
-    std::vector<Outcome> takeOutcomes();  // from any thread; in the order of tokens
+    void save(Save save);                 // thread-safe; only the newest pending one is written
+    std::vector<Outcome> takeOutcomes();  // thread-safe; in the order of tokens
 
   private:
     network::Result<std::optional<Durable>> load(const RetryWait& waitBeforeRetry);
     void waitUntilSynced(const RetryWait& waitBeforeRetry);
-    std::string open();              // empty: done; else why not
-    std::string write(const Save&);  // empty: done; else why not
+    std::string open();              // returns an error, empty on success
+    std::string write(const Save&);  // returns an error, empty on success
     void runWriter();
 
     const std::filesystem::path dataDirectory_, directory_;
@@ -78,17 +77,17 @@
     std::unique_ptr<leveldb::Logger> noLog_;
     std::unique_ptr<DirectorySyncEnv> env_;
     std::unique_ptr<leveldb::DB> db_;
-    bool mustDiscard_ = false;  // what is there is of no use: remove it before the next write
-    bool isStored_ = false;     // the two below lie on disk
+    bool mustDiscard_ = false;  // the database is lost or damaged: discard it before the next write
+    bool isStored_ = false;     // the next two are on disk
     std::string storedState_;
     Mark storedValue_;
 
-    std::mutex mutex_;  // of what follows
+    std::mutex mutex_;  // guards the members below
     std::condition_variable pendingOrStopping_;
     std::optional<Save> pendingSave_;
     bool stopping_ = false;
     std::vector<Outcome> outcomes_;
-    std::thread thread_;  // last: it uses all the others
+    std::thread thread_;  // declared last: it uses all other members
 };
 
 }  // namespace petrelpond::consensus
--- a/system/consensus/state_store_test.cpp
+++ b/system/consensus/state_store_test.cpp
@@ -28,11 +28,11 @@
         std::filesystem::permissions(dir_, std::filesystem::perms::owner_all);
         std::filesystem::remove_all(dir_);
     }
-    // Waits for the outcome of this token.
+    // Waits for the outcome of this token or a later one.
     StateStore::Outcome outcomeOf(StateStore& store, uint64_t token) {
         while (true) {
             pollfd p{wake_, POLLIN, 0};
-            if (::poll(&p, 1, 10000) != 1) return {0, false, "nothing within 10 s"};
+            if (::poll(&p, 1, 10000) != 1) return {0, false, "no outcome within 10 s"};
             uint64_t count = 0;
             if (::read(wake_, &count, sizeof count) != sizeof count) return {0, false, "eventfd"};
             for (const StateStore::Outcome& o : store.takeOutcomes()) {
@@ -122,7 +122,7 @@
     StateStore store(dir_, wake_);
     store.save({1, d});
     ASSERT_TRUE(outcomeOf(store, 1).ok);
-    // LevelDB numbers its files and begins new ones after each 256 kB.
+    // LevelDB numbers its files and starts a new log after every 256 kB.
     const auto files = [&] {
         int highest = 0;
         for (const auto& e : std::filesystem::directory_iterator(dir_ / StateStore::kDirectoryName)) {
@@ -167,7 +167,7 @@
 }
 
 TEST_F(StateStoreTest, ReportsFailedSaveAndLaterSaveSucceeds) {
-    // A file where the folder should be: fails for the superuser too.
+    // A file in place of the directory makes saves fail for root too.
     std::ofstream(dir_ / "file") << "no folder";
     StateStore store(dir_ / "file", wake_);
     const Durable d = sample(100);
@@ -180,10 +180,11 @@
     EXPECT_TRUE(outcomeOf(store, 2).ok);
 }
 
-// Three saves in one log; the bytes between two places of it are lost. Places: 0 to 3 as each save ends.
+// Writes three saves to one log, then zeroes part of what one save wrote, from and to given as shares of its
+// bytes, and loads the state.
 class TornLogTest : public StateStoreTest {
   protected:
-    network::Result<std::optional<Durable>> after(size_t body, int save, double from, double to) {
+    network::Result<std::optional<Durable>> loadAfterLoss(size_t body, int save, double from, double to) {
         Durable d = sample(1000);
         std::vector<uintmax_t> ends{0};
         {
@@ -212,30 +213,32 @@
     }
 };
 
-// Against the incident torn-taken-for-lost: three disks of one core, torn at the same loss of power.
+// Incident torn-taken-for-lost: one loss of power tore three disks, and each counted as lost. The state
+// before a torn end must be loaded instead.
 TEST_F(TornLogTest, RestoresStateBeforeTornEnd) {
     for (const size_t body : {0, 40000, 90000}) {
         for (const auto& [from, to] : {std::pair(0.0, 0.4), {0.02, 1.0}, {0.5, 0.6}, {0.9, 1.0}}) {
-            const auto found = after(body, 3, from, to);
+            const auto found = loadAfterLoss(body, 3, from, to);
             ASSERT_TRUE(std::holds_alternative<std::optional<Durable>>(found))
                 << body << " " << from << ": " << std::get<network::Problem>(found).line();
             ASSERT_TRUE(std::get<0>(found));
-            EXPECT_EQ(std::get<0>(found)->term, 8u);  // as the second save had it
+            EXPECT_EQ(std::get<0>(found)->term, 8u);  // of the second save
             EXPECT_EQ(std::get<0>(found)->value.body.size(), body > 0 ? body : 1000);
             std::filesystem::remove_all(dir_ / StateStore::kDirectoryName);
         }
     }
 }
 
-// What is followed by what was written later had been synced: its disk forgot something that was told.
+// Bytes followed by later records had been synced before, so losing them means that the disk lost announced
+// state.
 TEST_F(TornLogTest, ReportsDamageBeforeTheEnd) {
     for (const size_t body : {0, 40000, 90000}) {
-        EXPECT_TRUE(std::holds_alternative<network::Problem>(after(body, 2, 0.5, 0.6))) << body;
+        EXPECT_TRUE(std::holds_alternative<network::Problem>(loadAfterLoss(body, 2, 0.5, 0.6))) << body;
         std::filesystem::remove_all(dir_ / StateStore::kDirectoryName);
     }
 }
 
-// Issue 71: such a core was away until its disk took writes again, though it could tell what it holds.
+// Issue 71: such a core was away until its disk took writes again, although it could read its state.
 TEST_F(StateStoreTest, LoadsStateFromAnUnwritableDisk) {
     const Durable d = sample(1000);
     {
@@ -243,8 +246,7 @@
         store.save({1, d});
         ASSERT_TRUE(outcomeOf(store, 1).ok);
     }
-    // A folder in the place of LevelDB's lock: an error of the same kind as a full disk's, for the
-    // superuser too.
+    // A directory in place of LevelDB's LOCK file causes the same kind of error as a full disk, for root too.
     std::filesystem::remove(dir_ / StateStore::kDirectoryName / "LOCK");
     std::filesystem::create_directory(dir_ / StateStore::kDirectoryName / "LOCK");
     int pauses = 0;
@@ -289,15 +291,15 @@
         std::string newest;
         for (const auto& [name, bytes] : before)
             if (name.ends_with(".log")) newest = std::max(newest, name);
-        // Of the last record the beginning is lost, and its end is there.
+        // Zeroes the start of the last record and keeps its end.
         std::string& log = before[newest];
         log.replace(log.size() - 30000, 20000, 20000, '\0');
         std::ofstream(dir_ / StateStore::kDirectoryName / newest, std::ios::binary) << log;
     }
 }
 
-// The folder holds the present state and what is not compacted yet, not the history. KEEPER_SAVES and
-// KEEPER_BYTES play larger ones.
+// The directory holds the current state and what is not yet compacted, not all past states. KEEPER_SAVES and
+// KEEPER_BYTES set larger sizes.
 TEST_F(StateStoreTest, DirectorySizeIsBoundedByState) {
     const size_t saves = numberFromEnvironment("KEEPER_SAVES", 200),
                  bytes = numberFromEnvironment("KEEPER_BYTES", 300000);
@@ -311,7 +313,7 @@
             store.save({i, d});
             ASSERT_TRUE(outcomeOf(store, i).ok);
             uintmax_t size = 0;
-            std::error_code gone;  // LevelDB removes files meanwhile
+            std::error_code gone;  // LevelDB may remove files meanwhile
             for (const auto& e : std::filesystem::directory_iterator(dir_ / StateStore::kDirectoryName)) {
                 const uintmax_t one = e.file_size(gone);
                 if (!gone) size += one;
@@ -319,7 +321,7 @@
             most = std::max(most, size);
         }
     }
-    std::printf("%zu saves of %zu bytes: the folder held %ju bytes at most\n", saves, bytes, most);
+    std::printf("%zu saves of %zu bytes: the directory held at most %ju bytes\n", saves, bytes, most);
     EXPECT_LT(most, 12 * bytes + (4u << 20));
     StateStore again(dir_, wake_);
     const auto found = again.takeLoaded();
--- a/system/consensus/stored_state.cpp
+++ b/system/consensus/stored_state.cpp
@@ -20,7 +20,7 @@
 
 namespace fs = std::filesystem;
 
-// The names and lengths of a folder's files, for whoever has to find out what became of a disk.
+// Names and sizes of the files in a directory, for the diagnosis of a damaged disk.
 std::string listFiles(const fs::path& directory) {
     std::string text = "files:";
     std::error_code error;
@@ -41,7 +41,7 @@
     return synced;
 }
 
-// Whether something stands under this name. Not known where the disk does not say.
+// Whether the file exists; nullopt if the disk does not tell.
 std::optional<bool> checkExists(const fs::path& name) {
     std::error_code error;
     const fs::file_status status = fs::status(name, error);
@@ -53,10 +53,10 @@
 struct OpenResult {
     leveldb::Status status;
     std::unique_ptr<leveldb::DB> database;
-    bool skippedTornEnds = false;  // the ends of some of its logs were left out
+    bool skippedTornEnds = false;  // opened without the torn ends of some logs
 };
 
-// What a database uses for as long as it is open.
+// Used by a database as long as it is open, so it must outlive it.
 struct DatabaseEnvironment {
     CopyOnWriteEnv env;
     NoLog log;
@@ -73,10 +73,11 @@
     return {status, std::unique_ptr<leveldb::DB>(database)};
 }
 
-// Against power lost in the midst of a write: the end of a log is torn, and LevelDB refuses the whole.
-// Nothing in a record that was not whole was ever told, so the state before it counts. Without this each such
-// disk counted as lost, and where all lose power at once, so did a majority. It also takes a last record that
-// was synced and rotted since for one that never was: that harms where a disk changes bytes that it had kept.
+// A loss of power during a write tears the end of a log, and LevelDB then refuses the whole database. Nothing
+// in an incomplete record was ever announced, so the state before it is valid. Without this each such disk
+// counted as lost, and so did a majority of them if all machines lost power at once. Drawback: a last record
+// that was synced and corrupted since is also taken for one that was never synced, which matters if a disk
+// changes bytes it had stored.
 OpenResult openSkippingTornEnds(DatabaseEnvironment& environment, const fs::path& directory) {
     OpenResult opened = openDatabase(environment, directory);
     if (!opened.status.IsCorruption()) return opened;
@@ -92,7 +93,7 @@
     return opened;
 }
 
-// Only LevelDB's word that the bytes are wrong says so; all else that fails may pass.
+// Only a corruption status of LevelDB means damage; every other error may be transient.
 StoredState stateOfError(const std::string& step, const leveldb::Status& status) {
     if (status.IsCorruption()) return Damaged{step + status.ToString()};
     return Unreadable{step + status.ToString()};
@@ -106,20 +107,20 @@
     const leveldb::Status stateStatus = database.Get(options, kStateKey, &stateRecord);
     const leveldb::Status valueStatus = database.Get(options, kValueKey, &value);
     if (stateStatus.IsNotFound() && valueStatus.IsNotFound()) {
-        if (skippedTornEnds) return Damaged{"no whole record"};
+        if (skippedTornEnds) return Damaged{"no complete record"};
         return std::optional<Durable>{};
     }
-    if (stateStatus.IsNotFound()) return Damaged{"rest: missing"};
-    if (!stateStatus.ok()) return stateOfError("rest: ", stateStatus);
+    if (stateStatus.IsNotFound()) return Damaged{"record 'rest': missing"};
+    if (!stateStatus.ok()) return stateOfError("record 'rest': ", stateStatus);
     std::optional<Durable> found = unpackStateRecord(stateRecord);
-    if (!found) return Damaged{"rest: wrong checksum or form"};
+    if (!found) return Damaged{"record 'rest': wrong checksum or format"};
     if (found->value.version == 0) return found;
-    if (valueStatus.IsNotFound()) return Damaged{"value: missing"};
-    if (!valueStatus.ok()) return stateOfError("value: ", valueStatus);
+    if (valueStatus.IsNotFound()) return Damaged{"record 'value': missing"};
+    if (!valueStatus.ok()) return stateOfError("record 'value': ", valueStatus);
     std::optional<Value> storedValue = unpackValueRecord(value);
-    if (!storedValue) return Damaged{"value: wrong checksum or form"};
+    if (!storedValue) return Damaged{"record 'value': wrong checksum or format"};
     if (storedValue->version != found->value.version || storedValue->digest != found->value.digest)
-        return Damaged{"value: of another version than the rest"};
+        return Damaged{"record 'value': its version or digest differs from record 'rest'"};
     found->value.body = std::move(storedValue->body);
     return found;
 }
@@ -128,14 +129,17 @@
 
 StoredState readStoredState(const fs::path& directory) {
     const std::optional<bool> directoryExists = checkExists(directory);
-    if (!directoryExists) return Unreadable{"look for " + directory.string()};
+    if (!directoryExists) return Unreadable{"can't stat " + directory.string()};
     if (!*directoryExists) return std::optional<Durable>{};
-    // Before LevelDB, which maps tables into memory: there a read error would end the process.
-    if (!areFilesReadable(directory)) return Unreadable{"read the files of " + directory.string()};
-    if (isDiscardInProgress(directory)) return Damaged{"was being discarded; " + listFiles(directory)};
+    // Checked before LevelDB opens the files: it maps tables into memory, where a read error would kill the
+    // process.
+    if (!areFilesReadable(directory)) return Unreadable{"can't read all files in " + directory.string()};
+    if (isDiscardInProgress(directory))
+        return Damaged{"an earlier discard was interrupted; " + listFiles(directory)};
     const std::optional<bool> databaseExists = checkExists(directory / "CURRENT");
-    if (!databaseExists) return Unreadable{"look for " + (directory / "CURRENT").string()};
-    if (!*databaseExists) return std::optional<Durable>{};  // ended before its first state was written
+    if (!databaseExists) return Unreadable{"can't stat " + (directory / "CURRENT").string()};
+    if (!*databaseExists)
+        return std::optional<Durable>{};  // the process ended before its first state was written
 
     DatabaseEnvironment environment;
     const OpenResult opened = openSkippingTornEnds(environment, directory);
--- a/system/consensus/stored_state.hpp
+++ b/system/consensus/stored_state.hpp
@@ -1,6 +1,6 @@
-// What a core finds on its disk at the start, read without a write, and what it may then conclude. Only two
-// findings make a disk count as lost: there is no state, or all its bytes were read and make none. A disk
-// that does not give its bytes may yet give them; it says nothing of what it holds.
+// Reads a core's state from its disk at the start, without writing. A disk counts as lost in only two cases:
+// it holds no state, or all its bytes were read and make up no valid state. A disk that does not return its
+// bytes may still return them later; nothing is known of what it holds.
 #pragma once
 
 #include <filesystem>
@@ -12,23 +12,24 @@
 
 namespace petrelpond::consensus {
 
-// The records of the database, which the Keeper writes.
-inline const char* const kValueKey = "value";  // the long part, rarely changed
-inline const char* const kStateKey = "rest";   // all others, and the mark of the value that belongs to them
+// Keys of the database records that StateStore writes.
+inline const char* const kValueKey = "value";  // long and rarely changed
+inline const char* const kStateKey = "rest";   // all other fields, with version and digest of their value
 
-struct Unreadable {  // the disk did not give all bytes: nothing is known of them
+struct Unreadable {  // not all bytes could be read: nothing is known of them
     std::string reason;
 };
-struct Damaged {  // all bytes were read, and make no whole state
+struct Damaged {  // all bytes were read but make up no valid state
     std::string reason;
 };
-// No Durable: no state was ever told from this folder, or it was given up.
+// A nullopt means that no state was ever announced from this directory, or that it was discarded.
 using StoredState = std::variant<std::optional<Durable>, Unreadable, Damaged>;
 
 StoredState readStoredState(const std::filesystem::path& directory);
 
-// Against a state that is read from the host's memory as a process was killed in the midst of a write, is
-// told, and is gone with the next loss of power: syncs what stands in the folder. Empty: done; else why not.
+// Syncs the files in the directory and the directory itself. A process killed during a write may leave state
+// that is only in the host's page cache; without a sync it would be loaded and announced, and then disappear
+// with the next loss of power. Returns an empty string on success, otherwise the error.
 std::string syncDatabaseFiles(const std::filesystem::path& directory);
 
 }  // namespace petrelpond::consensus
--- a/system/consensus/torn_log.cpp
+++ b/system/consensus/torn_log.cpp
@@ -9,11 +9,11 @@
 namespace petrelpond::consensus {
 namespace {
 
-// Of LevelDB's log: blocks, in them fragments of a sum, a length and a kind.
+// LevelDB's log format: blocks of fragments, each with a header of checksum, length and type.
 constexpr size_t kBlockBytes = 32768, kHeaderBytes = 7;
 enum FragmentType : uint8_t { full = 1, first = 2, middle = 3, last = 4 };
 
-// CRC-32C of a fragment's kind and bytes, masked as LevelDB keeps it.
+// CRC-32C of a fragment's type and data, masked as LevelDB stores it.
 uint32_t maskedCrc32c(std::string_view bytes) {
     uint32_t crc = 0xffffffff;
     for (const char c : bytes) {
@@ -29,7 +29,7 @@
            static_cast<size_t>(static_cast<uint8_t>(log[position + 5])) << 8;
 }
 
-// The kind of the fragment at this place and its length with the header; 0 where none can be read.
+// The type of the fragment at this position and its length with the header; type 0 if it is not readable.
 std::pair<uint8_t, size_t> readFragment(std::string_view log, size_t position) {
     const size_t available = std::min(kBlockBytes - position % kBlockBytes, log.size() - position);
     if (available < kHeaderBytes) return {0, 0};
@@ -64,13 +64,13 @@
         if (!insideRecord) intactEnd = position;
     }
     if (position >= log.size() && !insideRecord) return -1;
-    // Only one record is under way at a time. One that begins anew behind the bad place was written after
-    // that had been synced, which then is damage and no tear.
+    // Only one record is written at a time. A record that starts after the unreadable place was written after
+    // that place had been synced, so the place is damage and not a torn end.
     size_t searchStart = position;
     if (kBlockBytes - position % kBlockBytes >= kHeaderBytes && log.size() - position >= kHeaderBytes &&
         readFragment(log, position).first == 0)
         searchStart += kHeaderBytes +
-                       readFragmentLength(log, position);  // its length may be right, where its bytes are not
+                       readFragmentLength(log, position);  // its length may be right even if its data is not
     if (searchStart / kBlockBytes != position / kBlockBytes)
         searchStart = position / kBlockBytes * kBlockBytes + kBlockBytes;
     for (; searchStart < log.size(); searchStart = searchStart / kBlockBytes * kBlockBytes + kBlockBytes)
--- a/system/consensus/torn_log.hpp
+++ b/system/consensus/torn_log.hpp
@@ -1,4 +1,5 @@
-// The end of a LevelDB log (its format also carries MANIFEST files) that a loss of power tore.
+// Detection and removal of the torn end that a loss of power leaves in a LevelDB log. MANIFEST files have the
+// same format.
 #pragma once
 
 #include <filesystem>
@@ -8,21 +9,21 @@
 
 namespace petrelpond::consensus {
 
-// Where the last whole record ends, if all that can't be read lies behind it and nothing that can; -1 where a
-// record follows that can be read, or nothing is wrong.
+// Offset at which the last complete record ends, if everything unreadable comes after it and nothing readable
+// does; -1 if a readable record follows the unreadable part, or if nothing is unreadable.
 int64_t findTornEnd(std::string_view log);
 
 struct TornLog {
     std::filesystem::path file;
-    std::string intactBytes;  // its bytes before the torn end
+    std::string intactBytes;  // contents before the torn end
 };
-// The logs of this database that have a torn end.
+// The logs of the database that have a torn end.
 std::vector<TornLog> findTornLogs(const std::filesystem::path& directory);
 
-// Cuts the torn ends off the logs of this database; how many.
+// Truncates the torn ends of the logs of the database. Returns how many logs were truncated.
 int truncateTornLogs(const std::filesystem::path& directory);
 
-// Whether every byte of the folder's files can be read.
+// Whether every byte of the files in the directory can be read.
 bool areFilesReadable(const std::filesystem::path& directory);
 
 }  // namespace petrelpond::consensus
