--- a/system/scaler/planner.cpp
+++ b/system/scaler/planner.cpp
@@ -18,8 +18,8 @@
 struct Service;
 struct Instance;
 
-// In the order in which they came to be known. By address the order, and with it what is decided, would
-// differ from one run of a process to the next, and no schedule that a search finds could be played again.
+// Orders pointers by creation number. Ordering by address would make decisions differ between runs of the
+// process, so a schedule found by the randomized test could not be replayed.
 struct CreationOrder {
     template <class T>
     bool operator()(const T* a, const T* b) const {
@@ -32,12 +32,12 @@
     uint64_t creationNumber = 0;
     std::string zone;
     bool isLinked = false, isSynced = false, isLeaving = false;
-    Instant slotsFreeAt = Instant::never();      // silent: when its slots go to others
-    Instant unansweredSince = Instant::never();  // since when a word of ours has had no word of its
-    bool isUnresponsive = false;                 // it says nothing though it was told something
+    Instant slotsFreeAt = Instant::never();      // while unlinked: when its slots are released
+    Instant unansweredSince = Instant::never();  // since when a grant message has had no report in return
+    bool isUnresponsive = false;                 // linked, but a grant message went unanswered for too long
     std::set<Instance*, CreationOrder> heldInstances;
     std::set<Service*, CreationOrder> services;
-    std::vector<Instance*> grantsDue;  // whose number it must be told
+    std::vector<Instance*> grantsDue;  // instances whose granted slots must be sent to it
     bool isResponsive() const { return isLinked && isSynced && !isUnresponsive; }
 };
 
@@ -45,15 +45,16 @@
 struct SenderDemand {
     Sender* sender = nullptr;
     uint32_t waiting = 0, busy = 0;
-    double rate = 0;  // calls a second, tau of Tuning::fastTau
+    double rate = 0;  // calls per second, averaged with Tuning::fastTau
     Instant rateUpdatedAt;
     Instant lastGrantedAt = Instant::longAgo();
-    uint32_t upCover = 0, bootCover = 0, granted = 0;  // scratch of one pass
+    uint32_t upCover = 0, bootCover = 0, granted = 0;  // recomputed in each pass
 };
 
-// What one sender may use of one instance. Numbers are absolute and only one direction of change is open at
-// a time: a Held that equals the told number then proves that the sender has read it. Else an old Held of
-// the same number (told 0, 2, 0: the first 0) would free slots that are in use.
+// The slots of one instance that one sender may use. Numbers are absolute, and only one direction of change
+// is unconfirmed at a time: a HeldSlots equal to the granted number then proves that the sender has read the
+// grant. Otherwise an old HeldSlots of the same number (granted 0, 2, 0: the first 0) would free slots that
+// are in use.
 struct Allocation {
     Sender* sender = nullptr;
     SenderDemand* demand = nullptr;
@@ -62,12 +63,12 @@
     Instant changedAt, sentAt, idleSince;
     uint32_t reservedSlots() const {
 #ifdef SCALER_DEFECT_FREE_AT_GRANT
-        return granted;  // the mistake that the tests' search must find
+        return granted;  // deliberate defect that the randomized test must find
 #else
         return std::max(granted, held);
 #endif
     }
-    // Asked back and, as far as known, not in use.
+    // Slots that were recalled and, as far as known, are not in use.
     uint32_t reassignableSlots() const {
         uint32_t keeps = std::max(granted, busy);
         return isUnconfirmed && !isIncrease && held > keeps ? held - keeps : 0;
@@ -92,11 +93,11 @@
     Phase phase = Phase::booting;
     uint32_t slots = 1;
     Instant startedAt, goneAt, nextStopAt;
-    Instant upSince;  // since when it is known to be up; its own id is on the list soon after
+    Instant upSince;  // when it was first known to be up; the platform lists it soon after
     bool wasListed = false, isStopSent = false;
     int missedLists = 0;
     std::vector<Allocation> allocations;
-    std::vector<SlotReservation> reservations;  // of ended senders
+    std::vector<SlotReservation> reservations;  // slots of ended senders
     Sender* suspectedBy = nullptr;
     Instant suspectedAt = Instant::longAgo();
 
@@ -123,7 +124,7 @@
     }
 };
 
-// Services that are configured alike, as far as known how long their calls take.
+// Mean call duration shared by all services with the same configuration.
 struct ServiceGroup {
     double callWeight = 0, meanCallSeconds = 0;
 };
@@ -131,19 +132,19 @@
 struct Service {
     FunctionSpec spec;
     uint64_t creationNumber = 0;
-    ServiceGroup* group = nullptr;  // set by its first call
-    double callWeight = 0;          // that workS rests on
-    bool isConfigured = false;      // a configuration in force names it
+    ServiceGroup* group = nullptr;  // set by the first measured call
+    double callWeight = 0;          // weight of meanCallSeconds, in calls
+    bool isConfigured = false;      // the current configuration names it
     std::vector<Instance*> instances;
     std::map<Sender*, SenderDemand, CreationOrder> demands;
-    uint32_t pendingStartCount = 0;  // starts without an answer
+    uint32_t pendingStartCount = 0;  // starts without a response
     uint32_t waiting = 0, busy = 0;
     double shortRate = 0, fastRate = 0, slowRate = 0, longRate = 0, meanCallSeconds = 0, peakBusy = 0;
     Instant rateUpdatedAt, peakUpdatedAt;
     Instant lastCallAt = Instant::longAgo(), startsBlockedUntil = Instant::longAgo();
     Instant surplusSince = Instant::never();
-    Instant warmUntil = Instant::longAgo();     // one is kept till then though nobody has called yet
-    bool isDirty = false, needsRefill = false;  // refill: it lost instances, the wanted number is due at once
+    Instant warmUntil = Instant::longAgo();     // one instance is kept until then even without calls
+    bool isDirty = false, needsRefill = false;  // needsRefill: instances were lost, replace them at once
 };
 
 struct PendingStart {
@@ -151,13 +152,14 @@
     std::string worker;
     Instant at, retryAt = Instant::never();
     int attempts = 0;
-    bool isCounted = true;  // among the service's pending
+    bool isCounted = true;  // included in the service's pendingStartCount
 };
 
 struct WorkerState {
     Worker reported;
     Instant fullUntil = Instant::longAgo();
-    std::vector<std::pair<Instant, int>> reservedMemory;  // MB of starts that the list does not show yet
+    std::vector<std::pair<Instant, int>>
+        reservedMemory;  // start time and MB of starts that the worker list does not show yet
     int missedLists = 0;
     int freeMemoryMb() const {
         int mb = reported.freeMb;
@@ -171,7 +173,7 @@
     return dt <= 0 ? 1 : std::exp(-dt / tau);
 }
 
-// What n calls spread over the last span add to a rate that forgets with tau.
+// What n calls spread over the last `span` seconds add to a rate that decays with time constant tau.
 double rateGain(double n, double span, double tau) {
     return span < 0.05 * tau ? n / tau : n * (1 - std::exp(-span / tau)) / span;
 }
@@ -197,8 +199,8 @@
     double tokens = 0;
     std::string noncePrefix;
     uint64_t nonceCount = 0, lastCreationNumber = 0;
-    Instant nextReservationEnd = Instant::never();  // when the first slots of ended senders come free
-    Instant passTime;                               // of the newest event
+    Instant nextReservationEnd = Instant::never();  // when the first slots of ended senders are released
+    Instant passTime;                               // time of the newest event
     Instant backlogReportedAt = Instant::longAgo();
     bool isPassDue = false;
     bool isReady = false, isOutOfTokens = false, hasConfiguration = false, hasInstanceList = false;
@@ -211,14 +213,16 @@
     std::vector<Service*> dirtyServices;
     std::vector<Sender*> sendersWithGrants;
     std::set<Instance*, CreationOrder>
-        closing;  // retiring, or stopping without an answer, or dropped and listed
+        closing;  // retiring, stopping without a response, or gone but still listed
     std::deque<Output> outputs;
     Counters counters;
 
-    // --- the platform's rate -------------------------------------------------------------------------------
+    // --- platform call rate ---
+    // -------------------------------------------------------------------------------
 
     double bucketDepth() const { return std::max(1.0, tuning.bucketDepthFactor * maxCallsPerSecond); }
-    // Takes one start or stop. What is not urgent leaves a part for requests that wait.
+    // Takes a token for one start or stop. Calls that are not urgent leave a part of the bucket for starts
+    // that waiting requests need.
     bool takeToken(Instant now, bool urgent) {
         double dt = std::max(0.0, (now - tokensUpdatedAt).inSeconds());
         tokens = std::min(bucketDepth(), tokens + dt * tuning.bucketRateFactor * maxCallsPerSecond);
@@ -281,8 +285,8 @@
         p->slots = static_cast<uint32_t>(std::max(1, p->service->spec.maxConcurrency));
         p->startedAt = now;
         p->service->instances.push_back(p.get());
-        p->service->lastCallAt =
-            std::max(p->service->lastCallAt, now);  // idle from now, never stopped at once
+        p->service->lastCallAt = std::max(p->service->lastCallAt,
+                                          now);  // counts as idle from now on, so it is not stopped at once
         return p.get();
     }
     void removeInstance(Instance* i) {
@@ -317,7 +321,8 @@
         s.changedAt = s.sentAt = now;
         queueGrant(i, s);
     }
-    // Ending instances: told at once whatever is still open, since nothing of it is granted again.
+    // Revokes all slots of an instance. Of an ending instance also those with an unconfirmed increase, since
+    // none of its slots is granted again.
     void revokeAll(Instant now, Instance* i, bool includeUnconfirmed) {
         for (auto& s : i->allocations)
             if (s.reservedSlots() > 0 && s.granted > 0 && (includeUnconfirmed || s.canDecrease()))
@@ -338,7 +343,7 @@
                 g.slots = s->granted;
                 g.fleetSlots = usableCapacity(i->service).slots;
                 g.isEnding = !i->isUsable();
-                // What is taken back its sender knows by the id.
+                // A sender knows the instance of a revoked grant by its id.
                 if (s->granted > 0)
                     g.service = i->service->spec.name, g.address = i->address, g.zone = i->zone;
                 if (i->phase == Phase::booting) {
@@ -354,7 +359,8 @@
         }
         sendersWithGrants.clear();
     }
-    // What was to go over a link that is no more must not go over the next one: its numbers are old.
+    // Drops queued grants of a closed link: their numbers are out of date and must not be sent over the next
+    // one.
     void discardUnsent(Sender* sender) {
         std::erase_if(outputs, [&](const Output& o) {
             const auto* t = std::get_if<GrantsMessage>(&o);
@@ -399,17 +405,19 @@
         if (now < i->nextStopAt) return;
         if (!takeToken(now, false)) return;
         i->isStopSent = true;
-        i->nextStopAt = now + Span::seconds(5);  // no word of stopped(): again
+        i->nextStopAt = now + Span::seconds(5);  // repeated if onStopped() is not called
         ++counters.stops;
         outputs.emplace_back(StopCall{i->id});
     }
-    // A slot is in use as long as its sender has not said otherwise: only then the stop.
+    // Stops a retiring instance once every sender has reported its slots returned; until then a slot counts
+    // as in use.
     void advanceClosing(Instant now) {
         for (auto it = closing.begin(); it != closing.end();) {
             Instance* i = *it++;
             if (i->phase == Phase::retiring) {
                 revokeAll(now, i, false);
-                // Not where a slot is only lent: its sender may be cut off from us alone and at work there.
+                // A reassigned slot counts as open: its sender may only be cut off from this holder and still
+                // use it.
                 auto open = [](const Allocation& s) { return s.isUnconfirmed && !s.isIncrease; };
                 if (i->reservedSlots() > 0 || std::any_of(i->allocations.begin(), i->allocations.end(), open))
                     continue;
@@ -458,26 +466,28 @@
         s.held = slots;
         s.busy = busy;
         if (isFirstFullReport) {
-            s.granted = slots;  // nothing that we said before is on its way any more
+            s.granted = slots;  // no earlier grant is still in flight
             s.isUnconfirmed = false;
         } else if (s.isUnconfirmed) {
             if (s.held == s.granted && !s.isGrantDue)
-                s.isUnconfirmed = false;  // due: it has not been told yet, so proves nothing
+                s.isUnconfirmed =
+                    false;  // with isGrantDue the grant was not sent yet, so an equal number proves nothing
         } else if (s.held < s.granted) {
-            s.granted = s.held;  // given back unasked
+            s.granted = s.held;  // returned without a recall
         }
         if (s.held > s.granted && !s.isUnconfirmed) setGranted(now, i, s, s.granted);
         if (!i->isUsable() && i->phase != Phase::retiring && s.granted > 0) setGranted(now, i, s, 0);
         if (fewer || slots > 0) markDirty(i->service);
     }
 
-    // More is in use than there is: a holder before us, or we after 5 s of silence, gave it twice.
+    // Recalls slots where more are reserved than the instance has: an earlier holder, or this one after 5 s
+    // of a sender's silence, granted some twice.
     void recallOvercommitted(Instant now, Instance* i) {
         uint32_t used = i->reservedSlots();
         if (used <= i->slots || !i->isUsable() || !(i->wasListed || i->service->isConfigured)) return;
         uint32_t promised = 0;
         for (const auto& s : i->allocations) promised += s.granted;
-        if (promised <= i->slots) return;  // asked already
+        if (promised <= i->slots) return;  // already recalled
         uint32_t over = promised - i->slots;
         ++counters.overcommitted;
         std::vector<Allocation*> by;
@@ -493,13 +503,14 @@
         }
     }
 
-    // Against a sender that stands still or has lost power: nothing tells that its link is dead for seconds,
-    // and the others waited for slots that lay idle there, and for those that it was asked to give back. What
-    // it was asked for and not seen to use is taken as given back: the word waits in its socket, so it reads
-    // that first when it wakes. Also catches one that is cut off from us alone: both may then use such a
-    // slot, and the instance turns one of two calls away as not run. Harm: that call's further try.
+    // Detects senders that hang or lost power. Their links look alive for seconds, and without this other
+    // senders wait for slots that are idle or recalled there. Recalled slots that are not known to be in use
+    // count as returned: the revocation is in the sender's socket, so it reads that first when it resumes. A
+    // sender that is only cut off from this holder is treated alike: two senders may then use such a slot,
+    // and the instance rejects one of two calls as not executed. Drawback: that call needs another attempt.
     void detectUnresponsiveSenders(Instant now) {
-        // If it was we who slept or are behind, the answers lie in our sockets or our queue, unread.
+        // If this process was suspended or has a report backlog, the replies are unread in its sockets or
+        // queue.
         bool slept =
             now - lastTick > tuning.tickInterval * 3.0 || now < backlogReportedAt + tuning.unresponsiveAfter;
         for (auto& [id, sender] : senders) {
@@ -521,7 +532,8 @@
             }
         }
     }
-    // Slots that nobody can have now: of a silent sender all that are not lent.
+    // Slots that cannot be granted now: those reserved by senders that do not respond, less the reassigned
+    // ones.
     uint32_t unavailableSlots(const Service* s) const {
         uint32_t n = 0;
         for (const Instance* i : s->instances) {
@@ -555,10 +567,10 @@
         u.rateUpdatedAt = now;
         s->lastCallAt = now;
     }
-    // A window shorter than the work would take one long call for many.
+    // A window shorter than a call would count one long call as many.
     double shortTau(const Service* s) const { return std::max(tuning.shortTau, estimateCallSeconds(s)); }
-    // Of a service that was called a few times its fellows say more than it does: one long call in three made
-    // a rare function look busy, and twice the instances were kept for it.
+    // For a service with few calls the mean of its group is weighted more than its own: one long call in
+    // three made a rarely called function look busy, and twice the instances were kept for it.
     double estimateCallSeconds(const Service* s) const {
         const ServiceGroup* g = findGroup(s);
         double like = g && g->callWeight >= 1
@@ -585,10 +597,12 @@
         s->rateUpdatedAt = now;
     }
 
-    // --- slots to those who wait ---------------------------------------------------------------------------
+    // --- slots for waiting requests ---
+    // ---------------------------------------------------------------------------
 
-    // Up before own zone: a boot costs a second, another zone a millisecond or twenty. Then where few hold,
-    // so an instance need not be asked back from many.
+    // Prefers the sender's zone, then instances that few senders hold, so that few have to return slots when
+    // it is retired. Callers try running instances of any zone before booting ones: a boot takes a second,
+    // another zone costs 1 to 20 ms.
     Instance* chooseFreeInstance(Service* s, Sender* sender, Phase phase) {
         ++counters.slotSearches;
         Instance* best = nullptr;
@@ -640,7 +654,7 @@
             if (i->phase == Phase::up)
                 for (auto& g : i->reservations) coming += g.slots;
         }
-        // Whoever was given something longest ago goes first, one slot at a time.
+        // The sender whose last grant is oldest goes first, one slot at a time.
         std::sort(want.begin(), want.end(), [](SenderDemand* a, SenderDemand* b) {
             return a->lastGrantedAt != b->lastGrantedAt ? a->lastGrantedAt < b->lastGrantedAt
                                                         : a->sender->id < b->sender->id;
@@ -648,9 +662,9 @@
         auto grantInTurns = [&](auto unmetBy, Phase phase) {
             uint32_t unmet = 0, spare = 0;
             std::vector<SenderDemand*> open = want;
-            // Counted once: where nothing is free each of many wants went through all shares of all
-            // instances, and the holder got slower by what waited: after a loss of all cores it never caught
-            // up again.
+            // Counts the free slots once. When none was free, each waiting sender searched all allocations of
+            // all instances, so the holder got slower the more waited, and after a loss of all cores it never
+            // caught up.
             for (const Instance* i : s->instances)
                 if (i->phase == phase && !i->suspectedBy) spare += i->freeSlots();
             while (!open.empty()) {
@@ -708,8 +722,8 @@
             counters.recalledSlots += n;
             need -= n;
         }
-        // All are at work: a sender with little or nothing gets its part as calls end. Against a sender
-        // that keeps all slots busy while another starves; harms by a round trip per slot, so damped.
+        // All slots are busy: a sender with few or none gets its share as calls end, so that one sender
+        // cannot starve another. Drawback: a round trip per moved slot, so the number per pass is limited.
         if (totalDemand == 0 || slots == 0) return;
         auto fair = [&](const SenderDemand& u) { return double(slots) * (u.waiting + u.busy) / totalDemand; };
         uint32_t moves = std::min(need, slots / 4 + 1);
@@ -732,7 +746,7 @@
                 if (!best) break;
                 setGranted(now, from, *best, best->granted - 1);
                 --best->demand->granted;
-                ++u->upCover;  // on its way, for this pass
+                ++u->upCover;  // counts as granted for the rest of this pass
                 ++u->granted;
                 ++counters.recalledSlots;
                 --moves;
@@ -740,14 +754,15 @@
         }
     }
 
-    // --- how many instances --------------------------------------------------------------------------------
+    // --- number of instances ---
+    // --------------------------------------------------------------------------------
 
     bool missesTargetAfterBoot(const Service* s) const {
         return s->spec.targetLatency < s->spec.bootTime + Span::seconds(estimateCallSeconds(s));
     }
 
-    // Slots that requests which wait now call for. A request that gets its turn before a boot is over is not
-    // helped by a start, so it is the queue that cannot drain that counts, not each request.
+    // Slots needed for the requests that wait now. A start does not help a request that is served before the
+    // boot ends, so what counts is the queue that cannot drain in time, not each request.
     double slotsNeededNow(const Service* s, uint32_t upSlots) const {
         double work = estimateCallSeconds(s), drain;
         if (missesTargetAfterBoot(s)) {
@@ -766,13 +781,13 @@
         return tuning.startCostGbSeconds + gb * s->spec.bootTime.inSeconds() +
                (s->spec.targetLatency < s->spec.bootTime ? tuning.lateCallCostGbSeconds : 0);
     }
-    // One beyond those wanted: as long as its memory costs less than its next start would.
+    // How long a surplus instance is kept: as long as its memory costs less than starting it again.
     Span surplusKeepTime(const Service* s) const {
         double perS = std::max(0.01, s->spec.memoryMb / 1024.0);
         return std::min(Span::seconds(coldStartCost(s) / perS), tuning.maxKeepTime);
     }
-    // Idle time after which an instance has cost what its loss would; longer where calls are so steady that
-    // the next one is worth the wait.
+    // Idle time after which keeping an instance has cost as much as starting it again would; longer where
+    // calls come so steadily that waiting for the next one pays off.
     Span idleKeepTime(const Service* s) const {
         if (!s->isConfigured) return tuning.unconfiguredKeepTime;
         double perS = std::max(0.01, s->spec.memoryMb / 1024.0), cold = coldStartCost(s);
@@ -794,7 +809,7 @@
             if (rate > tuning.hotRate && s->spec.targetLatency < s->spec.bootTime)
                 want = std::max(want, tuning.burstFactor * m + tuning.burstSigmas * std::sqrt(m));
         } else {
-            // There is time for a turn in the queue, and what waits too long starts more by itself.
+            // Requests have time to queue, and those that wait too long trigger starts themselves.
             double m =
                 std::min(rate, s->slowRate) *
                 (estimateCallSeconds(s) + (s->demands.size() > 1 ? tuning.handoverTime.inSeconds() : 0));
@@ -821,7 +836,7 @@
 
     void startUpTo(Instant now, Service* s, double slots, bool urgent) {
         Capacity h = usableCapacity(s);
-        // Those that are being asked back come first: they are up.
+        // Retiring instances are reused first: they are already up.
         for (Instance* i : s->instances) {
             if (h.slots >= slots) return;
             if (i->phase != Phase::retiring) continue;
@@ -852,8 +867,8 @@
         }
     }
 
-    // Few of the same service on one worker and in one zone (a crash takes a worker), the zone of the
-    // demand, then room.
+    // Chooses a worker for a new instance: spreads a service over workers and zones (a crash takes a whole
+    // worker), prefers zones with demand, then free memory.
     WorkerState* chooseWorker(Instant now, Service* s) {
         std::unordered_map<std::string, double> onWorker, inZone, demandInZone;
         double total = 0, count = 0;
@@ -896,7 +911,7 @@
         uint32_t each = uint32_t(std::max(1, s->spec.maxConcurrency));
         double hold = want > 0 ? std::max(want * tuning.surplusFactor, s->peakBusy) : 0;
         auto least = uint32_t(std::ceil(hold / each));
-        // At exactly the edge no 15% more: one instance where one is wanted.
+        // Without the surplus factor where one instance suffices: one is kept.
         if (want > 0 && want <= each && s->peakBusy <= each) least = 1;
         if (h.count <= least) {
             s->surplusSince = Instant::never();
@@ -918,7 +933,8 @@
         }
     }
 
-    // Free slots lie better where calls come than with us: a burst then needs no word with the holder.
+    // Grants free slots ahead of demand in proportion to call rates, so that a burst needs no round trip to
+    // the holder.
     void spreadFreeSlots(Instant now, Service* s) {
         if (s->demands.empty() || s->instances.empty()) return;
         double total = 0;
@@ -950,7 +966,8 @@
             --spare;
         }
         if (spare > 0 || s->demands.size() < 2) return;
-        // One idle slot a tick from who has too many to who has too few; no more, so shares do not swing.
+        // Moves at most one idle slot per tick from the sender with most surplus, so that allocations do not
+        // oscillate.
         double lack = 1;
         bool needed = false;
         for (auto& [sender, u] : s->demands)
@@ -973,7 +990,7 @@
         }
     }
 
-    // --- the pass after every event ------------------------------------------------------------------------
+    // --- pass after events --- ------------------------------------------------------------------------
 
     void finishLearning(Instant now) {
         if (isReady || now < createdAt + tuning.learningTime ||
@@ -986,9 +1003,9 @@
         for (auto& [name, s] : services) markDirty(s.get());
     }
 
-    // Events of one round are weighed together when the outputs are pulled: one pass, and one word to a
-    // sender. Against a small machine that hears thousands of reports a second, where a pass for each left no
-    // time for the duty's own beats. Harm: an event waits for the others of its round.
+    // Events of one loop turn are handled in one pass when the outputs are pulled, with one message per
+    // sender. On a small machine with thousands of reports per second, a pass for each left no time for the
+    // heartbeats of the startup duty. Drawback: an event waits for the others of its turn.
     void schedulePass(Instant now) {
         isPassDue = true;
         passTime = now;
@@ -1029,7 +1046,8 @@
         if (isReady) {
             for (auto& [name, p] : services) {
                 Service* s = p.get();
-                if (s->waiting > 0) markDirty(s);  // starts for waiting go first: pass() before the rest
+                if (s->waiting > 0)
+                    markDirty(s);  // runPass() below starts instances for waiting requests first
             }
             runPass(now);
             for (auto& [name, p] : services) {
@@ -1051,7 +1069,7 @@
         updateGauges();
     }
 
-    // When a start that no list shows and nobody has called up will not come any more.
+    // When a start that is neither listed nor reported up counts as failed.
     Instant bootDeadline(const Instance* i) const {
         return i->startedAt + i->service->spec.bootTime * tuning.maxBootFactor + listLag;
     }
@@ -1073,8 +1091,8 @@
             for (auto& s : i->allocations) {
                 if (!s.isUnconfirmed || !s.sender->isLinked || !s.sender->isSynced) continue;
                 if (now >= s.changedAt + tuning.acceptHeldAfter && s.held != s.granted) {
-                    // Upwards it may well use them: they count as taken. Downwards below what was asked:
-                    // given back unasked in between. Above: it is still at work.
+                    // An increase counts as in use. After a decrease, fewer held than granted means that the
+                    // sender returned some on its own; more held means that calls still run.
                     if (s.isIncrease)
                         s.held = s.granted, s.isUnconfirmed = false;
                     else if (s.held < s.granted)
@@ -1156,8 +1174,8 @@
     std::unordered_set<std::string> named;
     for (auto& f : functions) {
         Service* s = st.findOrAddService(now, f.name);
-        // The first calls of a service that boots longer than its aim would all come late: one instance
-        // stands ready before they come. Harm: its memory, where nobody calls for so long.
+        // Where a boot takes longer than the target latency, the first calls would all be late, so one
+        // instance is started ahead of them. Drawback: its memory, if no calls come meanwhile.
         if (!s->isConfigured && s->lastCallAt == Instant::longAgo() && f.targetLatency < f.bootTime)
             s->warmUntil = now + st.tuning.prewarmTime;
         s->isConfigured = true;
@@ -1171,7 +1189,7 @@
     for (auto& [name, s] : st.services) {
         if (!s->isConfigured || named.count(name)) continue;
         s->isConfigured = false;
-        s->lastCallAt = std::max(s->lastCallAt, now);  // calls that came before the change still run
+        s->lastCallAt = std::max(s->lastCallAt, now);  // calls from before the change may still run
         st.markDirty(s.get());
     }
     st.hasConfiguration = true;
@@ -1186,7 +1204,7 @@
     if (term <= st.term) return;
     st.term = term;
     st.noncePrefix = std::to_string(term) + "-" + std::to_string(st.random()) + "-";
-    for (auto& [id, sender] : st.senders) sender->isSynced = false;  // their whole reports for this term come
+    for (auto& [id, sender] : st.senders) sender->isSynced = false;  // full reports for this term follow
     st.schedulePass(now);
 }
 
@@ -1202,7 +1220,7 @@
     p->zone = zone;
     p->isLinked = true;
     p->unansweredSince = Instant::never();
-    // Its whole report says what it holds; until then all stays reserved.
+    // Its full report says what it holds; until then everything stays reserved.
     p->isSynced = p->isLeaving = p->isUnresponsive = false;
     p->slotsFreeAt = Instant::never();
     st.schedulePass(now);
@@ -1277,7 +1295,7 @@
         if (it == st.instances.end()) continue;
         Instance* i = it->second.get();
         if (i->phase == Phase::gone) continue;
-        // Until it is up a refusal is what a boot looks like; listed() ends boots that last too long.
+        // A booting instance refuses connections; onInstanceList() ends boots that take too long.
         if (i->phase == Phase::booting) continue;
         bool again = i->suspectedBy &&
                      (i->suspectedBy != sender || now - i->suspectedAt >= st.tuning.minRepeatReportGap);
@@ -1321,7 +1339,8 @@
         } else {
             i = it->second.get();
         }
-        if (i->service->spec.name != l.service) continue;  // ids are not used again; not ours to guess
+        if (i->service->spec.name != l.service)
+            continue;  // instance ids are never reused: ignore the contradiction
         i->zone = l.zone;
         i->worker = l.worker;
         if (l.slots > 0) i->slots = uint32_t(l.slots);
@@ -1344,20 +1363,21 @@
             st.closing.erase(i.get());
             continue;
         }
-        // One that a sender called up is on the list within its lag. An instance that died as the duty
-        // changed hands was adopted from reports and kept for seconds though no list named it, and nothing
-        // was started.
+        // An instance that a sender reported up must be listed within the list lag. Without this, one that
+        // died as the duty changed hands was adopted from reports and kept for seconds though never listed,
+        // and no replacement was started.
         bool isOverdue =
             i->wasListed ||
             (i->phase != Phase::booting && now > i->upSince + st.listLag * 1.5 + Span::millis(300)) ||
             (i->phase == Phase::booting && now >= st.bootDeadline(i.get()));
-        // One list without it may be older than the last one that had it.
+        // A single list without it may be older than the last one that named it.
         if (isOverdue && ++i->missedLists >= 2) lost.push_back(i.get());
     }
     for (Instance* i : lost) {
-        // A start that did not come up is stopped as well, lest it cost without end. The clock alone is no
-        // judge: a holder that slept, or whose lists come seldom, stopped instances at work of which it had
-        // not heard. Harm: a start that failed without a word is made good a list or two later.
+        // A start that did not come up is stopped too, or it could cost memory forever. Elapsed time alone
+        // does not decide this: a holder that was suspended, or that gets lists rarely, stopped working
+        // instances it had not heard of. Drawback: a start that failed silently is replaced one or two lists
+        // later.
         const bool boots = i->phase == Phase::booting;
         st.markGone(now, i, i->phase != Phase::draining && i->phase != Phase::stopping);
         if (boots) st.closing.insert(i), i->nextStopAt = now;
@@ -1384,7 +1404,7 @@
             ++it;
         }
     }
-    if (!down.empty())  // a worker that is down has taken its instances with it
+    if (!down.empty())  // the instances of a lost worker are lost with it
         for (auto& [id, i] : st.instances)
             if (i->phase != Phase::gone && down.count(i->worker)) st.markGone(now, i.get(), true);
     for (auto& [name, s] : st.services)
@@ -1395,7 +1415,8 @@
 void Planner::onStarted(Instant now, const std::string& nonce, std::string instance, std::string address) {
     State& st = *state_;
     auto it = st.pendingStarts.find(nonce);
-    if (it == st.pendingStarts.end()) return;  // given up: the list will show it
+    if (it == st.pendingStarts.end())
+        return;  // abandoned; the instance list will show the instance if it exists
     PendingStart start = it->second;
     st.removeStart(nonce);
     if (!st.instances.count(instance)) {
@@ -1414,7 +1435,8 @@
     PendingStart& start = it->second;
     Service* s = start.service;
     if (status == 0) {
-        // It may have happened: only the same nonce on the same worker cannot make a second one.
+        // The start may have happened: only a retry with the same nonce on the same worker cannot start a
+        // second instance.
         start.retryAt = now + st.tuning.retryDelay * double(1 << std::min(start.attempts, 3));
         ++start.attempts;
         st.schedulePass(now);
@@ -1455,7 +1477,7 @@
 
 Instant Planner::wakeAt() const {
     const State& st = *state_;
-    // Out of tokens: look again as soon as a few are there, not a whole tick later.
+    // Without tokens, wakes when a few are available again, not a whole tick later.
     return std::min(st.lastTick + (st.isOutOfTokens ? st.tuning.tickInterval * 0.25 : st.tuning.tickInterval),
                     st.nextReservationEnd);
 }
--- a/system/scaler/planner.hpp
+++ b/system/scaler/planner.hpp
@@ -1,13 +1,13 @@
-// Which instances of functions exist, and which sender may use how many of their slots: decided by the one
-// that holds the startup duty, for the whole fleet. No I/O, no clock, no thread.
+// Decides which function instances are started and stopped and how many of their slots each sender may use.
+// Run for the whole fleet by the holder of the startup duty. No I/O, no clock, no thread.
 //
-// How it is driven: every event comes with `now`; afterwards next() is pulled until it is empty. tick() is
-// due at wakeAt(). Every StartCall is answered by started() or startFailed() with its nonce, every StopCall
-// by stopped(). A Planner lives for one term of the duty; the next holder makes a fresh one.
+// Usage: pass every event with `now`, then pull next() until it is empty. Call tick() at wakeAt(). Answer
+// every StartCall with onStarted() or onStartFailed() and its nonce, every StopCall with onStopped(). The
+// next holder of the duty creates a new Planner; one that wins it again calls onTermRenewed().
 //
-// The one rule that all else serves: the slots that senders may use or still use of an instance are never
-// more in sum than it has. A slot that is taken back is free only once its sender has said so. It gives way
-// where a sender says nothing: after 0.6 s to what it was not seen to use, after 5 s to all.
+// Invariant: the slots of an instance that senders may use or still use never exceed its total. A revoked
+// slot is free only once its sender has confirmed it. Exception: for a sender that does not respond, recalled
+// slots not known to be in use are released after 0.6 s, and all slots of an unlinked one after 5 s.
 #pragma once
 
 #include <cstdint>
@@ -26,10 +26,10 @@
 
 struct FunctionSpec {
     std::string name;
-    int memoryMb = 0;        // of one instance
-    Span bootTime;           // mean time of a start
+    int memoryMb = 0;        // needed by one instance
+    Span bootTime;           // mean boot time of an instance
     int maxConcurrency = 1;  // slots of one instance
-    Span targetLatency;      // least target latency of its routes
+    Span targetLatency;      // lowest target latency of its routes
 };
 struct ListedInstance {
     std::string instance, service, address, zone, worker;
@@ -54,21 +54,21 @@
 };
 using Output = std::variant<StartCall, StopCall, GrantsMessage>;
 
-// What happened since construction, for the log.
+// Counters since construction, for the log and status.
 struct Counters {
     uint64_t starts = 0, startsFailed = 0, stops = 0, grantMessages = 0, recalledSlots = 0;
     uint64_t adopted = 0, lost = 0, drained = 0, wrongTerm = 0, overcommitted = 0, reassignedSlots = 0;
-    uint64_t slotSearches = 0;  // for a free slot, each through all shares of a service
-    uint64_t instances = 0, booting = 0, slots = 0, waiting = 0;  // of now, as of the last tick
+    uint64_t slotSearches = 0;  // searches for a free slot, each over all allocations of a service
+    uint64_t instances = 0, booting = 0, slots = 0, waiting = 0;  // current values, as of the last tick
 };
 
-// One service as it stands, for operators.
+// Current state of one service, for operators.
 struct ServiceState {
     std::string name;
-    uint32_t up = 0, booting = 0;    // instances; a start without an answer counts as booting
-    uint32_t draining = 0;           // instances that end, by our will or the platform's
-    uint32_t slots = 0;              // of the instances that are up
-    uint32_t waiting = 0, busy = 0;  // requests, as the senders reported them
+    uint32_t up = 0, booting = 0;    // instances; a start without a response counts as booting
+    uint32_t draining = 0;           // instances being ended by the planner or the platform
+    uint32_t slots = 0;              // slots of the instances that are up
+    uint32_t waiting = 0, busy = 0;  // requests, as reported by the senders
 };
 
 // What a sender's agent owes, and the planner relies on:
@@ -81,38 +81,40 @@
 //    it was only cut off, both may send there, and what is too much is turned away as not run.
 class Planner {
   public:
-    // dutyPerS: starts and stops that the platform takes a second from all; listLag: the most by which the
-    // lists of instances and workers are behind.
+    // maxCallsPerSecond: starts and stops that the platform accepts per second from all callers; listLag:
+    // maximum age of the instance and worker lists.
     Planner(Instant now, uint64_t term, uint32_t randomSeed, double maxCallsPerSecond, Span listLag);
     ~Planner();
     Planner(Planner&&) noexcept;
     Planner& operator=(Planner&&) noexcept;
 
-    void onConfiguration(Instant now,
-                         std::vector<FunctionSpec> functions);  // all of them; services come and go
-    // The same holder won again under a higher term, without another between: what it knows stays.
+    void onConfiguration(
+        Instant now,
+        std::vector<FunctionSpec> functions);  // the complete list; services may be added and removed
+    // The same holder won the duty again under a higher term with no other in between: its state is kept.
     void onTermRenewed(Instant now, uint64_t term);
     void onSenderLinked(Instant now, const SenderId& senderId, const std::string& zone);
-    void onReport(Instant now, const SenderId& senderId, const Report& report);  // of another term: ignored
-    // closed: its process ended (reset or close); else it is silent and may still use its slots for a while.
+    void onReport(Instant now, const SenderId& senderId, const Report& report);  // ignored if of another term
+    // closed: the sender's process ended (reset or close); otherwise it is silent and may still use its slots
+    // for a while.
     void onSenderUnlinked(Instant now, const SenderId& senderId, bool closed);
-    void onReportBacklog(Instant now);  // reports wait unread: nobody is late by what was not heard
-    void onInstanceList(Instant now, std::vector<ListedInstance> list);  // the whole list, all pages
+    void onReportBacklog(
+        Instant now);  // unread reports are queued: no sender counts as unresponsive meanwhile
+    void onInstanceList(Instant now, std::vector<ListedInstance> list);  // the complete list, all pages
     void onWorkerList(Instant now, std::vector<Worker> workers);
     void onStarted(Instant now, const std::string& nonce, std::string instance, std::string address);
-    // 409, 429, 400 as the platform said; 0: no answer (the start may have happened).
+    // status: 409, 429 or 400 from the platform; 0: no response (the start may have happened).
     void onStartFailed(Instant now, const std::string& nonce, int status);
-    // 200 and 404: gone; 429: too fast; 0: no answer. The last two are tried again.
+    // status 200 and 404: gone; 429: rate limited; 0: no response. The last two are retried.
     void onStopped(Instant now, const std::string& instance, int status);
 
     void tick(Instant now);
-    bool isReady() const;  // what the senders hold is known: slots are given out, instances started
+    bool isReady() const;  // whether senders' slots are known, so that grants and starts are made
     Instant wakeAt() const;
     std::optional<Output> next();
 
     const Counters& counters() const;
-    std::vector<ServiceState> serviceStates()
-        const;  // goes through all instances: for a question now and then
+    std::vector<ServiceState> serviceStates() const;  // iterates over all instances: for occasional queries
 
   private:
     struct State;
