--- a/system/agent/agent.cpp
+++ b/system/agent/agent.cpp
@@ -14,17 +14,17 @@
 namespace {
 
 const Span kHeartbeatInterval = Span::millis(1000);
-const Span kCoreSilenceTimeout =
-    Span::millis(2200);  // without a word from a core for so long its link is made anew
-// The holder sends a heartbeat each 250 ms; one may be late by the hiccup of a small machine.
+const Span kCoreSilenceTimeout = Span::millis(2200);  // a link to a core silent for this long is reopened
+// The holder sends a heartbeat every 250 ms; one may be delayed by a pause of a small machine.
 const Span kHolderSilenceTimeout = Span::millis(500);
 const Span kRequestRetryInterval = Span::millis(600);
-// Of a core whose process starts anew: short, as one that won the duty without us would give our slots away.
+// For a core whose process restarts: short, because one that wins the duty without this agent would give its
+// slots to others.
 const Span kMaxConnectPause = Span::millis(200);
 const Span kConnectTimeout = Span::millis(240);  // several round trips between regions
 
-// Rises with each start of this machine's agent. A time of day that was set back makes our word look old to
-// others until they have forgotten us; nothing but the count of senders suffers.
+// Increases with each start of this agent. If the clock was set back, other agents treat its messages as old
+// until they have forgotten it; only the count of senders is affected.
 uint64_t currentLife() {
     timespec t;
     clock_gettime(CLOCK_REALTIME, &t);
@@ -174,11 +174,12 @@
     }
     auto found = otherLinks_.find(link.tag);
     if (found == otherLinks_.end()) return;
-    if (kind == Kind::hello) {  // the proxy, by loopback
+    if (kind == Kind::hello) {  // the proxy, over loopback
         proxyTag_ = link.tag;
         hasSentStanding_ = false;
         if (heldConfig_.any())
-            link.say(Kind::config, heldConfig_.plain());  // it keeps what it has where that is as new
+            link.say(Kind::config,
+                     heldConfig_.plain());  // the proxy ignores it if it has the same version or a newer one
         sendStandingToProxy();
     } else if (kind == Kind::report && link.tag == proxyTag_) {
         auto core = cores_.find(holder_);
@@ -229,7 +230,8 @@
     requestConfig(core, b);
 }
 
-// One core is asked at a time, the first that tells of a newer configuration; another after a while.
+// Requests from one core at a time, the first that announces a newer configuration; from another after
+// kRequestRetryInterval.
 void Agent::requestConfig(CoreLink& core, const network::Beat& b) {
     const bool isPreferredZone = core.zone == settings_.zone || !hasCoreInOwnZone();
     const ConfigOffer offer{isNewer(b.version, b.digest), b.inContact, isPreferredZone};
@@ -309,7 +311,7 @@
     std::vector<Link*> silent;
     for (auto& [ip, core] : cores_) {
         if (!core.link) continue;
-        // A connection's first packet that was lost at a dark machine is sent again after a second only.
+        // A connection's first packet lost at a machine that is down is retransmitted only after a second.
         bool lost = !core.link->isUp() && now - core.connectTriedAt > kConnectTimeout;
         if (lost || now - core.lastHeardAt > kCoreSilenceTimeout) silent.push_back(core.link.get());
     }
@@ -348,9 +350,9 @@
             if (to && datagrams_) datagrams_->send(*to, gossip::encode(s->message));
         } else if (auto* f = std::get_if<gossip::Fetch>(&*output)) {
             auto to = network::Address::parse(f->ip, static_cast<uint16_t>(settings_.portFirst + 1));
-            // A core that is linked has told of it and will be asked: a sender's own link is the narrower
-            // one. Left undone the views ask another a second later. Harm: that second, where the core ends
-            // meanwhile.
+            // A linked core has announced the version and will be asked instead: other agents' links are
+            // slower. If that fails, the gossip views ask another agent a second later. Drawback: that
+            // second, if the core stops meanwhile.
             if (heldConfig_.any() && hasCoreWithNewerConfig()) continue;
             uint64_t tag = nextTag_++;
             ++fetches_;
--- a/system/agent/agent.hpp
+++ b/system/agent/agent.hpp
@@ -1,5 +1,5 @@
-// The agent beside the proxy: keeps the link to the cores, knows the other agents, and feeds the proxy over
-// loopback. It decides nothing about requests.
+// The agent next to a proxy: keeps links to the cores, tracks the other agents by gossip, and supplies the
+// proxy over loopback. It makes no decisions about requests.
 #pragma once
 
 #include <map>
@@ -23,7 +23,7 @@
           std::string loopback = "127.0.0.1");
     ~Agent() override;
     bool open(std::string& error);
-    void applySettings(const configuration::Settings&);  // other seeds
+    void applySettings(const configuration::Settings&);  // updates the seeds
     void leave();
     void logCounters() const;
 
@@ -36,14 +36,14 @@
         std::string ip;
         std::unique_ptr<network::Link> link;
         Instant connectTriedAt = Instant::longAgo(), lastHeardAt = Instant::longAgo();
-        Instant lastSeenAt;  // heard while it was linked; at first: when it was told of
+        Instant lastSeenAt;  // last heard while linked; initially when it was announced
         Span connectPause = Span::millis(100);
-        std::string zone;  // as it said; empty: not yet
+        std::string zone;  // as announced by the core; empty until then
         network::Beat lastHeartbeat;
     };
-    struct OtherLink {  // another agent, or the proxy, at our listener; or a fetch of ours
+    struct OtherLink {  // accepted from another agent or the proxy, or opened for a fetch
         std::unique_ptr<network::Link> link;
-        std::string fetchedFrom;  // its ip, where we fetch
+        std::string fetchedFrom;  // ip of the other end of a fetch; otherwise empty
     };
     void addCore(const std::string& ip);
     CoreContact contactOf(const CoreLink&) const;
@@ -54,14 +54,14 @@
     void pump();
     void onHeartbeat(CoreLink&, const network::Beat&);
     void requestConfig(CoreLink&, const network::Beat&);
-    bool hasCoreInOwnZone() const;      // one is linked
-    network::Beat heldVersion() const;  // what a change may be made from
+    bool hasCoreInOwnZone() const;      // a linked one
+    network::Beat heldVersion() const;  // the base for a delta; empty if the full text is needed
     void acceptConfig(const network::Config&);
     void onDutyHolder(uint64_t term, const std::string& holder);
     void sendStandingToProxy();
     void sendToProxy(network::Kind, std::string_view payload);
     bool isNewer(int64_t version, uint64_t digest) const;
-    bool hasCoreWithNewerConfig() const;  // of a newer configuration than ours
+    bool hasCoreWithNewerConfig() const;  // newer than heldConfig_
 
     network::Loop& loop_;
     configuration::Settings settings_;
@@ -75,7 +75,7 @@
     std::unique_ptr<network::Datagrams> datagrams_;
     uint64_t nextTag_ = 1, proxyTag_ = 0;
     configuration::HeldText heldConfig_;
-    bool needsFullConfig_ = false;  // a change could not be taken
+    bool needsFullConfig_ = false;  // a delta could not be applied
     std::string requestedCore_;
     Instant requestedAt_ = Instant::longAgo();
     uint64_t term_ = 0;
--- a/system/agent/config_request_policy.hpp
+++ b/system/agent/config_request_policy.hpp
@@ -1,4 +1,4 @@
-// When a newer configuration that a core tells of is asked for.
+// Decides when an agent requests a newer configuration that a core has announced.
 #pragma once
 
 #include "petrelpond/time.hpp"
@@ -6,35 +6,35 @@
 
 namespace petrelpond::agent {
 
-// How long an agent without any configuration holds out for a core that is in contact with a majority. A core
-// that was cut off hands out what it held before; requests would be served by routes that are gone. Harm:
-// where no such core can be reached, a proxy that starts serves nothing for so long. An old configuration
-// that serves is then taken for better than none: it is replaced as soon as a newer one is heard of.
+// How long an agent without a configuration waits for a core that is in contact with a majority. A core that
+// was cut off hands out an old one, with routes that no longer exist. Drawback: if no such core can be
+// reached, a starting proxy serves nothing for this long. After that an old configuration is better than
+// none: it is replaced as soon as a newer one is announced.
 inline const Span kMaxContactWait = Span::millis(2500);
 
-// What a core told of its configuration.
+// What a core announced about its configuration.
 struct ConfigOffer {
-    bool isNewer = false;         // than ours
-    bool isInContact = false;     // with a majority, lately
-    bool isPreferredZone = true;  // it is in our zone, or no core that is linked is
+    bool isNewer = false;         // than the agent's
+    bool isInContact = false;     // with a majority, recently
+    bool isPreferredZone = true;  // in the agent's zone, or no linked core is
 };
 
-// How much longer a core of another zone is not asked: bytes between zones are dear, and those of our zone
-// hear of a version within milliseconds. Harm: where that one fails to tell, a version is in force so much
-// later.
+// Extra delay before a core of another zone is asked: traffic between zones is expensive, and cores of the
+// own zone get a version within milliseconds. Drawback: if those fail to announce it, a version takes effect
+// this much later.
 inline const Span kOtherZoneDelay = Span::millis(400);
 
 class ConfigRequestPolicy {
   public:
     explicit ConfigRequestPolicy(uint32_t randomSeed) : random_{std::mt19937(randomSeed)} {}
 
-    // Whether to ask for it now.
+    // Whether to request the configuration now.
     //
-    // With a configuration already: a moment later, by chance. Against versions that follow one another at
-    // once, as when two operators change it: each was fetched whole by every sender in the same instant, and
-    // on a narrow link its bytes and the reading held up requests for a third of a second a version. So
-    // several cost one, and not all senders are held up together. Harm: it is in force so much later; far
-    // within the time that it has. Without one: at once from a core in contact, from another after kHoldOut.
+    // With a configuration already: after a random delay. When versions followed each other closely, as when
+    // two operators make changes, every sender fetched each one in full at the same moment, and on a slow
+    // link the transfer and parsing delayed requests by a third of a second per version. The delay merges
+    // several versions into one fetch and spreads the senders. Drawback: a version takes effect later, well
+    // within its time limit. Without one: at once from a core in contact, from another after kMaxContactWait.
     bool shouldRequest(Instant now, bool hasConfig, ConfigOffer offer) {
         if (!offer.isNewer) return false;
         if (hasConfig) {
@@ -52,7 +52,8 @@
     policy::Chance random_;
     Instant requestAt_ = Instant::never();
     Instant contactWaitUntil_ = Instant::never();
-    Instant otherZoneFrom_ = Instant::never();  // without any: when a core of another zone is asked
+    Instant otherZoneFrom_ =
+        Instant::never();  // without a configuration: when a core of another zone is asked
 };
 
 }  // namespace petrelpond::agent
--- a/system/agent/known_core.hpp
+++ b/system/agent/known_core.hpp
@@ -1,4 +1,4 @@
-// Which of the cores that it was told of an agent goes on trying to reach.
+// Decides which of the known cores an agent keeps connecting to.
 #pragma once
 
 #include <algorithm>
@@ -9,25 +9,24 @@
 
 namespace petrelpond::agent {
 
-// Against a list that only grows: each core machine that was replaced would be tried for ever, and at the
-// bound no new one would be learned of any more. A core that is back is learned of again from any that lives,
-// or by its own lease. Harm: cut off from all for longer than that, an agent is left with its seeds and the
-// holder.
+// Silence after which a core is forgotten. Otherwise replaced cores would be tried forever, and once the list
+// is full no new core could be added. A core that returns is announced by any live core or by its own lease.
+// Drawback: an agent cut off from all cores for longer is left with its seeds and the holder.
 inline const Span kForgetCoreAfter = Span::seconds(60);
 constexpr size_t kMaxCores = 32;
 
-// What the choice needs to know of a core.
+// State of a core that the decision needs.
 struct CoreContact {
-    bool isPinned = false;  // a seed of the settings, or the holder of the lease
+    bool isPinned = false;  // a seed from the settings, or the lease holder
     bool isLinked = false;
-    Instant lastHeard;  // it was last heard; where it never was, since it was told of
+    Instant lastHeard;  // when it was last heard, or first announced if never heard
 };
 
 inline bool canForgetCore(const CoreContact& core, Instant now) {
     return !core.isPinned && !core.isLinked && now - core.lastHeard > kForgetCoreAfter;
 }
 
-// The one to forget where the list is full: silent for longest. Empty: none may be.
+// Returns the core to forget when the list is full: the longest silent one. Empty if none may be forgotten.
 inline std::string findLongestSilentCore(const std::map<std::string, CoreContact>& cores) {
     std::string longest;
     Instant lastHeard = Instant::never();
--- a/system/control_plane/control.cpp
+++ b/system/control_plane/control.cpp
@@ -20,9 +20,10 @@
 namespace {
 
 const Span kAgentHeartbeatInterval = Span::millis(500);
-const Span kHolderHeartbeatInterval = Span::millis(200);  // of the holder: senders are to miss it soon
+const Span kHolderHeartbeatInterval =
+    Span::millis(200);  // sent by the holder: senders must detect its loss soon
 const Span kAgentSilenceTimeout =
-    Span::millis(3000);  // no word of an agent for so long: its slots may be passed on
+    Span::millis(3000);  // an agent silent for this long is unlinked, its slots may be reassigned
 
 std::string errorBody(const std::string& cause) {
     std::string out = "{\"cause\":\"";
@@ -33,25 +34,27 @@
     return out + "\"}";
 }
 
-// A vacancy is a time without new instances: short, but several round trips between regions and the hiccups
-// of a small machine. A needless ballot costs the new holder its learning, some 0.2 s.
+// Without a holder no instances are started, so the lease is short, but longer than several round trips
+// between regions plus the pauses of a small machine. A needless election costs the new holder's learning
+// time, about 0.2 s.
 const Span kDutyHeartbeatInterval = Span::millis(150);
 const Span kDutyLeaseTime = Span::millis(700);
 
 const Span kReconnectInterval = Span::millis(250);  // several round trips between regions
 
 const Span kMaxReportAge =
-    Span::millis(200);  // a report that waits for so long: our senders are not to blame
+    Span::millis(200);  // if reports wait longer than this, senders' silence is not held against them
 
-// Texts kept as bases of changes: what a sender holds that was away for a few seconds of a storm. An older
-// one costs the whole.
+// Texts kept as bases of deltas: enough for a sender that was away for a few seconds of rapid changes. A
+// sender with an older one gets the full text.
 constexpr size_t kMaxConfigBases = 8;
 
-const Span kMajorityLossDelay = Span::seconds(5);  // of too many lost disks: a rebuild takes 1.2 s
+const Span kMajorityLossDelay =
+    Span::seconds(5);  // delay before the loss of a majority of disks is logged; a rebuild takes 1.2 s
 
 constexpr const char* kJsonHeader = "Content-Type: application/json\r\n";
 
-// {"gone":["10.0.0.4"],"come":["10.0.0.9"]}: ips, either may be left out.
+// Parses {"gone":["10.0.0.4"],"come":["10.0.0.9"]}: ips, either may be omitted. Empty if malformed.
 std::optional<ChangeVoters> parseVotersChange(uint64_t visit, const std::string& body) {
     rapidjson::Document d;
     d.Parse<rapidjson::kParseIterativeFlag>(body.c_str(), body.size());
@@ -156,7 +159,8 @@
     schedulePump();
 }
 
-// --- operators ---------------------------------------------------------------------------------------------
+// --- operator requests ---
+// ---------------------------------------------------------------------------------------------
 
 void Control::asked(HttpVisit& visit, HttpRequest&& request) {
     commands_.push_back(decodeCommand(visit.id(), std::move(request)));
@@ -164,9 +168,9 @@
 }
 
 void Control::runCommands() {
-    // What the state said is carried out first, so that no command sees a duty that is held while its planner
-    // is not there yet: the disk's word comes by woke() and is pumped a turn later. A read also finds the
-    // newest value known. Harm: none seen, an empty pull.
+    // Outputs of the consensus core are processed first, so that no command sees a held duty without its
+    // planner: finished saves arrive in woke() and are pumped a turn later. A read also gets the newest known
+    // value. Drawback: only an extra call when there is no output.
     pump();
     auto all = std::move(commands_);
     commands_.clear();
@@ -192,9 +196,9 @@
     auto value = std::make_shared<consensus::Value>();
     value->version = configuration->version;
     value->digest = configuration::digest(c.text);
-    value->body = configuration::packed(c.text);  // as disks and links of cores carry it
-    // Refused at once where no majority can be reached, so that the operator goes on to another core. What
-    // the state would say only after its operationTimeout is over.
+    value->body = configuration::packed(c.text);  // compressed, as stored and sent between cores
+    // Rejected at once when no majority can be reached, so that the operator tries another core instead of
+    // waiting for the operationTimeout.
     if (core_->cutOff(loop_.now())) return answerNoMajority(*visit->second, "configuration write");
     uint64_t ticket = nextOperation_++;
     const int64_t version = value->version;
@@ -275,7 +279,8 @@
     visits_.erase(found);
 }
 
-// --- the state and its outputs -----------------------------------------------------------------------------
+// --- consensus core and its outputs ---
+// -----------------------------------------------------------------------------
 
 void Control::woke(uint32_t) {
     uint64_t count = 0;
@@ -319,9 +324,9 @@
 }
 
 void Control::armTimer() {
-    // What is armed sooner stays. Against calls that come faster than the millisecond: each of them used to
-    // put the core's next turn off by one more, so no duty was won, renewed or told while they lasted. Harm:
-    // a turn for nothing where the core meanwhile has more time.
+    // An earlier timer is kept. When requests came faster than one per millisecond, each of them delayed the
+    // core's next tick by another one, so the duty was not won, renewed or announced meanwhile. Drawback: a
+    // needless tick when the core's deadline has moved back.
     Instant wake = std::max(core_->wakeAt(), loop_.now() + Span::millis(1));
     if (timer_ != 0 && armedFor_ <= wake) return;
     loop_.cancel(timer_);
@@ -337,14 +342,14 @@
     OutboundLink& outbound = outboundLinks_[ip];
     std::string bytes = consensus::encode(message);
     if (outbound.link && outbound.link->isUp()) {
-        // What a peer does not read is not piled up: the core's messages are said again.
+        // Messages to a peer that does not read are dropped: the core repeats them.
         if (outbound.link->unsent() < (1u << 20)) outbound.link->send(Kind::coreMessage, bytes);
         return;
     }
     if (outbound.unsentMessages.size() < 16) outbound.unsentMessages.push_back(std::move(bytes));
     if (loop_.now() - outbound.connectTriedAt < kReconnectInterval) return;
-    // To a machine that is still dark a connection's first packet is lost, and is sent again after a second
-    // only: so long all cores that came back would be without a majority.
+    // The first packet to a machine that is still down is lost and retransmitted only after a second, and for
+    // that long the recovered cores would have no majority. So the connection is opened anew.
     if (outbound.link) outbound.link->close(), loop_.bury(std::move(outbound.link));
     outbound.connectTriedAt = loop_.now();
     auto to = network::Address::parse(ip, static_cast<uint16_t>(settings_.portFirst));
@@ -369,13 +374,13 @@
     bool was = duty_.held;
     uint64_t term = duty_.term;
     duty_ = d;
-    if (was && d.held && d.term > term) {  // voted for again: nobody else has held it in between
+    if (was && d.held && d.term > term) {  // re-elected: no other core held it in between
         spdlog::info("startup duty won again, term {}", d.term);
         scalerHost_->onTermRenewed(d.term);
     } else if (was && !d.held) {
         scalerHost_->logCounters();
         scalerHost_.reset();
-        reportBacklog_.clear();  // they were for this term
+        reportBacklog_.clear();  // they belong to the old term
         spdlog::info("startup duty of term {} given up", term);
     }
     if (d.held && !scalerHost_) {
@@ -395,7 +400,8 @@
     scheduleHeartbeats();
 }
 
-// --- agents and fellows ------------------------------------------------------------------------------------
+// --- agents and other cores ---
+// ------------------------------------------------------------------------------------
 
 void Control::sendConfig(Link& link, configuration::TextId base) {
     if (configTexts_.any()) link.say(Kind::config, configTexts_.configFor(base));
@@ -442,9 +448,9 @@
     return cores;
 }
 
-// Against agents that know none of the cores any more once each of those that they were told of has been
-// replaced: a link that stays up brings no second welcome, and a core that has never held the lease is told
-// of by nobody else. It harms by one small message to each agent for each change of the cores.
+// Sends linked agents the new core list when it changes. Otherwise an agent whose link stays up would know no
+// core once all those in its first welcome were replaced, as nobody else announces a core that never held the
+// lease. Drawback: one small message to each agent per change.
 void Control::announceCoreChanges() {
     std::vector<std::string> cores = knownCores();
     if (cores == announcedCores_) return;
@@ -490,7 +496,8 @@
             if (!h) break;
             auto earlier = agentByName_.find(h->name);
             if (earlier != agentByName_.end() && earlier->second != link.tag) {
-                auto old = inboundLinks_.find(earlier->second);  // its former link, not yet known to be dead
+                auto old =
+                    inboundLinks_.find(earlier->second);  // its previous link, not yet detected as dead
                 if (old != inboundLinks_.end()) {
                     if (scalerHost_)
                         scalerHost_->onSenderUnlinked(h->name, old->second.hello.life != h->life);
@@ -533,15 +540,15 @@
 void Control::processReports() {
     isReportTurnScheduled_ = false;
     reportBacklog_.processTurn([this](uint64_t tag, const std::string& payload) {
-        // Of a link that ended: the sender's next link begins with a whole report of its own.
+        // Reports of a closed link are dropped: the sender's next link starts with a full report.
         auto inbound = inboundLinks_.find(tag);
         if (!scalerHost_ || inbound == inboundLinks_.end() || !inbound->second.isAgent) return;
         auto r = network::unpacked<scaler::Report>(payload);
         if (r) scalerHost_->onReport(inbound->second.hello.name, *r);
     });
-    // Who seems to say nothing may have said it here, where it waits.
+    // A sender that seems silent may have a report in this queue.
     if (scalerHost_ && reportBacklog_.oldestAge(loop_.now()) > kMaxReportAge) scalerHost_->onReportBacklog();
-    // In the next round, after what has come for the duty meanwhile.
+    // In the next turn, after events for the duty that have arrived meanwhile.
     if (!reportBacklog_.empty())
         scheduleReports(std::max(network::Loop::clock(), loop_.now() + Span::micros(1)));
 }
@@ -570,8 +577,9 @@
     if (!inbound.coreIp.empty()) core_->lost(loop_.now(), inbound.coreIp), schedulePump();
 }
 
-// Agents are told at once. Against a start of all: those without a configuration ask only a core that is in
-// contact, and waited for its next heartbeat. Harm: one heartbeat more to each agent.
+// Sends heartbeats at once when contact with a majority changes. When everything starts at the same time,
+// agents without a configuration ask only a core in contact and would wait for its next heartbeat. Drawback:
+// one more heartbeat to each agent.
 void Control::checkContact() {
     if (core_->inContact(loop_.now()) == wasInContact_) return;
     wasInContact_ = !wasInContact_;
@@ -579,7 +587,8 @@
     scheduleHeartbeats();
 }
 
-// Two disks that wait for each other look like a cut otherwise: both only say that no majority is reached.
+// Logs the start and end of a rebuild. Two disks waiting for each other would otherwise look like a network
+// partition: both only report that no majority is reached.
 void Control::checkRebuilding() {
     if (core_->recovering() == wasRebuilding_) return;
     wasRebuilding_ = !wasRebuilding_;
@@ -588,9 +597,9 @@
                                   : "this disk counts again");
 }
 
-// An alarm: where more disks are lost than a majority can be rebuilt from, nothing is acknowledged any more
-// until one of them is brought back, and all else looks like a cut. Not at once: a change of the voters looks
-// alike for some round trips, and disks that are lost before the voters are known may be begun anew.
+// Logs an error when so many disks are lost that no majority can be rebuilt: nothing is acknowledged until
+// one is restored, and otherwise it looks like a network partition. Delayed, because a change of voters looks
+// the same for a few round trips, and disks lost before the voters are known may be initialized again.
 void Control::checkLostVoters() {
     const Instant now = loop_.now();
     const auto voters = static_cast<int>(core_->voters().size());
--- a/system/control_plane/control.hpp
+++ b/system/control_plane/control.hpp
@@ -1,5 +1,5 @@
-// The control program on a core machine: takes and keeps the configuration with its fellows, brings it to the
-// agents, and, while it holds the startup duty, plans instances and slots for the whole fleet.
+// The control program on a core machine: replicates the configuration with the other cores, distributes it to
+// the agents and, while it holds the startup duty, plans instances and slots for the whole fleet.
 #pragma once
 
 #include <rapidjson/stringbuffer.h>
@@ -25,7 +25,7 @@
 
 namespace petrelpond::control_plane {
 
-// An operator's call, decoded; run from a queue at the end of the round.
+// Decoded operator requests, queued and run at the end of the loop's turn.
 struct PutConfiguration {
     uint64_t visit;
     std::string text;
@@ -36,7 +36,7 @@
 struct GetStatus {
     uint64_t visit;
 };
-struct ChangeVoters {  // who counts towards a majority
+struct ChangeVoters {  // changes who counts towards a majority
     uint64_t visit;
     std::vector<std::string> removed, added;  // ips
 };
@@ -49,7 +49,7 @@
 
 class Control final : public network::HttpHost, public network::LinkOwner, public network::Watcher {
   public:
-    // defect: broken on purpose, for the range alone.
+    // defect: a deliberate fault, for fault-injection builds only.
     Control(network::Loop&, const configuration::Settings&, uint32_t randomSeed,
             consensus::Defect defect = consensus::Defect::none);
     ~Control() override;
@@ -64,18 +64,18 @@
     void linkUp(network::Link&) override;
     void frame(network::Link&, network::Kind, std::string_view payload) override;
     void linkDown(network::Link&, bool closed) override;
-    void woke(uint32_t events) override;  // the keeper has results
+    void woke(uint32_t events) override;  // the keeper has finished saves
 
   private:
-    struct InboundLink {  // an agent's link, or a fellow core's to us
+    struct InboundLink {  // link accepted from an agent or another core
         std::unique_ptr<network::Link> link;
         std::string coreIp;
         network::Hello hello;
         bool isAgent = false;
         Instant lastHeardAt;
-        int64_t configVersion = 0;  // of the configuration that the agent said it has
+        int64_t configVersion = 0;  // configuration version that the agent reported
     };
-    struct OutboundLink {  // our link to a fellow core
+    struct OutboundLink {  // link opened to another core
         std::unique_ptr<network::Link> link;
         Instant connectTriedAt = Instant::longAgo();
         std::deque<std::string> unsentMessages;
@@ -103,7 +103,7 @@
     void scheduleHeartbeats();
     void sendWelcome(InboundLink&);
     void announceCoreChanges();
-    std::vector<std::string> knownCores() const;  // by their ips, this one too
+    std::vector<std::string> knownCores() const;  // ips, including this core's
     void sendConfig(network::Link&, configuration::TextId base);
     void checkContact();
     void checkRebuilding();
@@ -123,7 +123,7 @@
     std::map<uint64_t, InboundLink> inboundLinks_;
     std::map<std::string, uint64_t> agentByName_;
     std::map<std::string, OutboundLink> outboundLinks_;
-    std::vector<std::string> announcedCores_;  // what linked agents know of the cores
+    std::vector<std::string> announcedCores_;  // core list last sent to linked agents
     std::deque<Command> commands_;
     ReportBacklog reportBacklog_;
     bool isReportTurnScheduled_ = false;
@@ -134,9 +134,9 @@
         bool voters = false;
     };
     std::map<uint64_t, PendingOperation> pendingOperations_;
-    std::shared_ptr<const consensus::Value> committedValue_;  // the newest that is known to lie on a majority
-    std::shared_ptr<const configuration::Configuration> configuration_;  // of value_
-    configuration::HeldText configTexts_;                                // of value_ and those before it
+    std::shared_ptr<const consensus::Value> committedValue_;  // newest value known to be on a majority
+    std::shared_ptr<const configuration::Configuration> configuration_;  // parsed from committedValue_
+    configuration::HeldText configTexts_;  // text of committedValue_ and of earlier ones
     consensus::Duty duty_;
     uint64_t nextVisit_ = 1, nextTag_ = 1, nextOperation_ = 1;
     bool isPumpScheduled_ = false, isHeartbeatScheduled_ = false, isLeaving_ = false, lastSaveFailed_ = false,
--- a/system/control_plane/main.cpp
+++ b/system/control_plane/main.cpp
@@ -16,7 +16,7 @@
     if (!start) return code;
     network::Loop loop;
     consensus::Defect defect = consensus::Defect::none;
-#ifdef PETRELPOND_RANGE_FAULTS  // the range's own set of the programs: it must find these
+#ifdef PETRELPOND_RANGE_FAULTS  // deliberate faults in the test range's build, which it must detect
     const std::string_view said = std::getenv("PETRELPOND_TWIN") ? std::getenv("PETRELPOND_TWIN") : "";
     if (said == "hasty-amnesiac") defect = consensus::Defect::hastyAmnesiac;
     if (said == "ack-before-sync") defect = consensus::Defect::ackBeforeSync;
--- a/system/control_plane/report_backlog.hpp
+++ b/system/control_plane/report_backlog.hpp
@@ -1,8 +1,8 @@
-// Senders' reports that wait for the planner, in the order in which they came, taken a few a turn.
+// Queue of senders' reports for the planner, in order of arrival, processed a few per turn of the loop.
 //
-// Against a crowd: the reports of all senders in one turn took a small machine longer than the duty's
-// leaseTime, so the holder gave the duty up in their midst, and again each time that it had won it back.
-// Harm: reports that wait are older by a turn or more.
+// With many senders, processing all reports in one turn took a small machine longer than the duty's
+// leaseTime, so the holder lost the duty meanwhile, and again each time it had won it back. Drawback: queued
+// reports are older by a turn or more.
 #pragma once
 
 #include <cstdint>
@@ -17,17 +17,17 @@
 
 class ReportBacklog {
   public:
-    // Some 0.1 s of the smallest machine at their longest, as whole ones: far below the leaseTime.
+    // About 0.1 s on the smallest machine for the longest (full) reports: far below the leaseTime.
     static constexpr size_t kMaxPerTurn = 16;
 
     void push(Instant now, uint64_t link, std::string_view report) {
         queue_.push_back({now, link, std::string(report)});
     }
-    // How long the first of them has waited.
+    // How long the oldest report has waited; zero if there is none.
     Span oldestAge(Instant now) const { return queue_.empty() ? Span() : now - queue_.front().receivedAt; }
     bool empty() const { return queue_.empty(); }
     void clear() { queue_.clear(); }
-    // Gives what one turn may take to `report(link, text)`; the rest waits for the next turn.
+    // Passes up to kMaxPerTurn reports to `report(link, text)`; the rest stays queued.
     template <class Report>
     void processTurn(Report report) {
         for (size_t i = 0; i < kMaxPerTurn && !queue_.empty(); ++i) {
--- a/system/control_plane/scaler_host.cpp
+++ b/system/control_plane/scaler_host.cpp
@@ -64,7 +64,7 @@
         auto at = network::Address::parse(settings_.platform->address.text());
         listCaller_ = std::make_unique<network::HttpCaller>(loop_, *at, 2, Span::millis(1500));
         startStopCaller_ = std::make_unique<network::HttpCaller>(loop_, *at, 8, Span::millis(1000));
-        // All senders together may make so many calls for lists; this one takes a part of it.
+        // Interval between list calls, within this core's part of the platform's rate limit.
         double each = 2.5 / std::max(0.5, settings_.platform->ratePerS * 0.4);
         listInterval_ = std::max(Span::millis(600), Span::seconds(each));
     }
@@ -160,7 +160,7 @@
         if (!isListingEndpoints_) isListingEndpoints_ = true, requestEndpoints("", {});
     }
     if (now >= nextWorkerListAt_) {
-        nextWorkerListAt_ = now + listInterval_ * 0.75;  // a worker that is gone is first seen here
+        nextWorkerListAt_ = now + listInterval_ * 0.75;  // the loss of a worker shows here first
         if (!isListingWorkers_) isListingWorkers_ = true, requestWorkers();
     }
 }
--- a/system/control_plane/scaler_host.hpp
+++ b/system/control_plane/scaler_host.hpp
@@ -1,4 +1,4 @@
-// While this core holds the startup duty: the planner, its calls to the platform, and the agents' reports.
+// Runs the planner while this core holds the startup duty: its calls to the platform and the agents' reports.
 #pragma once
 
 #include <functional>
@@ -24,7 +24,9 @@
     void onSenderLinked(const std::string& sender, const std::string& zone);
     void onReport(const std::string& sender, const scaler::Report&);
     void onSenderUnlinked(const std::string& sender, bool closed);
-    void onReportBacklog() { planner_.onReportBacklog(loop_.now()); }  // reports wait here, unread
+    void onReportBacklog() {
+        planner_.onReportBacklog(loop_.now());
+    }  // unread reports are queued on this core
     uint64_t term() const { return term_; }
     const scaler::Planner& planner() const { return planner_; }
     void logCounters() const;
--- a/system/control_plane/status.cpp
+++ b/system/control_plane/status.cpp
@@ -1,5 +1,4 @@
-// What GET /status tells: this core's view, made when it is asked for and not before. Nothing here changes
-// anything.
+// The response of GET /status: this core's view, built on request. Read-only.
 #include <rapidjson/memorystream.h>
 #include <rapidjson/stringbuffer.h>
 #include <rapidjson/writer.h>
@@ -15,12 +14,12 @@
 
 using Writer = rapidjson::Writer<rapidjson::StringBuffer>;
 
-// The answer is bounded, whatever agents and configurations hold: what is left out is counted, never silently
-// missing. At these bounds it is under a megabyte.
+// Bounds of the response, whatever agents and configurations contain. Totals show what was omitted. With
+// these bounds it stays below a megabyte.
 constexpr size_t kMaxAgents = 1024, kMaxServices = 512, kMaxCores = 64, kMaxNameBytes = 128;
 
-// Names come from agents and configurations: cut to kMostName bytes, and bytes that are no UTF-8 become '?',
-// else one odd agent would make the whole answer unreadable.
+// Names come from agents and configurations: truncated to kMaxNameBytes, with bytes that are not UTF-8
+// replaced by '?', so that one bad name does not make the whole response unreadable.
 void writeString(Writer& w, std::string_view name) {
     std::string out;
     size_t at = 0;
@@ -56,7 +55,7 @@
         v->second->answer(200, "Content-Type: application/json\r\n", statusJson());
 }
 
-// Who votes, who catches up, who is suspected and since when, and how many voters may still be lost.
+// Writes which members vote, catch up or are suspected and since when, and how many voters may still be lost.
 void Control::writeMembers(rapidjson::Writer<rapidjson::StringBuffer>& w, Instant now) const {
     w.Key("losses_left"), w.Int(core_->lossesLeft(now));  // negative: no majority
     w.Key("members"), w.StartArray();
@@ -83,7 +82,7 @@
         writeText(w, "zone", settings_.zone);
     writeBool(w, "leaving", isLeaving_);
     writeBool(w, "in_contact",
-              core_->inContact(now));  // with a majority, lately: else what follows may be old
+              core_->inContact(now));  // recently, with a majority; otherwise the rest may be outdated
 
     w.Key("configuration"), w.StartObject();
     auto held = core_->held();
@@ -97,7 +96,7 @@
     writeBool(w, "last_save_failed", lastSaveFailed_);
     w.EndObject();
 
-    writeNumber(w, "voters_epoch", core_->epoch());  // 0: not agreed on
+    writeNumber(w, "voters_epoch", core_->epoch());  // 0: not yet agreed on
     w.Key("voters"), w.StartArray();
     for (size_t i = 0; i < std::min(voters.size(), kMaxCores); ++i) writeString(w, voters[i]);
     w.EndArray();
@@ -116,7 +115,7 @@
         for (const auto& [tag, inbound] : inboundLinks_)
             if (inbound.coreIp == peers[i]) heard = std::max(heard, inbound.lastHeardAt);
         if (heard > Instant::longAgo())
-            writeSeconds(w, "heard_s_ago", now - heard);  // else it has no link to us now
+            writeSeconds(w, "heard_s_ago", now - heard);  // otherwise it has no link to this core now
         w.EndObject();
     }
     w.EndArray();
@@ -139,7 +138,7 @@
         w.StartObject();
         writeText(w, "name", h.name), writeText(w, "ip", h.ip), writeText(w, "zone", h.zone);
         writeSeconds(w, "heard_s_ago", now - inbound->second.lastHeardAt);
-        writeVersion(w, "version", inbound->second.configVersion);  // that it said it has
+        writeVersion(w, "version", inbound->second.configVersion);  // as reported by the agent
         w.EndObject();
     }
     w.EndArray();
@@ -154,7 +153,7 @@
         writeNumber(w, "drained", counters.drained), writeNumber(w, "overheld", counters.overcommitted);
         writeNumber(w, "wrong_term", counters.wrongTerm), writeNumber(w, "recalls", counters.recalledSlots);
         auto services = scalerHost_->planner().serviceStates();
-        // Where there are too many, those in want come first, then those with instances.
+        // If there are too many, services with waiting requests come first, then those with instances.
         std::sort(services.begin(), services.end(),
                   [](const scaler::ServiceState& a, const scaler::ServiceState& b) {
                       return std::tuple(b.waiting, b.up + b.booting, a.name) <
