--- a/system/agent/agent.cpp
+++ b/system/agent/agent.cpp
@@ -238,8 +238,8 @@
     if (!requestPolicy_.shouldRequest(loop_.now(), heldConfig_.any(), offer)) return;
     if (loop_.now() - requestedAt_ < kRequestRetryInterval) return;
     if (!heldConfig_.any() && !b.inContact)
-        spdlog::warn("configuration {} taken from {}, which is out of contact: it may be old", b.version,
-                     core.ip);
+        spdlog::warn("configuration {} requested from {}, which has no majority: it may be outdated",
+                     b.version, core.ip);
     requestedAt_ = loop_.now(), requestedCore_ = core.ip;
     core.link->say(Kind::want, heldVersion());
 }
@@ -263,9 +263,9 @@
         ++configsRejected_;
         needsFullConfig_ = true;
         requestedAt_ = Instant::longAgo();
-        spdlog::warn("configuration {} not taken: {}", c.version,
-                     how == configuration::Taking::damaged ? "its digest is another"
-                                                           : "a change from a text that is not held");
+        spdlog::warn(
+            "configuration {} rejected: {}", c.version,
+            how == configuration::Taking::damaged ? "digest mismatch" : "the base of the delta is missing");
         return;
     }
     needsFullConfig_ = false;
@@ -274,7 +274,7 @@
     ++configsAccepted_;
     sendToProxy(Kind::config, network::packed(c));
     views_.know(loop_.now(), {c.version, c.digest, term_, holder_});
-    spdlog::info("configuration {} taken, {} bytes", c.version, c.bytes.size());
+    spdlog::info("configuration {} accepted, {} bytes", c.version, c.bytes.size());
 }
 
 void Agent::onDutyHolder(uint64_t term, const std::string& holder) {
@@ -380,7 +380,7 @@
 void Agent::leave() {
     if (isLeaving_) return;
     isLeaving_ = true, leavingSince_ = loop_.now();
-    spdlog::info("leaving once the proxy has gone");
+    spdlog::info("shutting down once the proxy has disconnected");
 }
 
 void Agent::logCounters() const {
--- a/system/agent/config_request_policy_test.cpp
+++ b/system/agent/config_request_policy_test.cpp
@@ -12,7 +12,8 @@
 
 Instant at(int ms) { return Instant::atMicros(int64_t(ms) * 1000); }
 
-// Versions told of at 0, 5 and 150 ms are one fetch; agents do not ask together; the first is not waited for.
+// Versions announced at 0, 5 and 150 ms cause one fetch; agents do not ask at the same moment; the first
+// configuration is not delayed.
 TEST(ConfigRequestPolicy, SeveralVersionsAreOneFetchAndNotAllAskTogether) {
     std::set<int> times;
     for (uint32_t chance = 1; chance <= 60; ++chance) {
@@ -21,7 +22,8 @@
         for (int t : {0, 5, 150}) EXPECT_FALSE(a.shouldRequest(at(t), true, kInContact));
         int t = 150;
         while (!a.shouldRequest(at(t), true, kInContact)) ASSERT_LT(t += 5, 460);
-        EXPECT_TRUE(a.shouldRequest(at(t + 600), true, kInContact));  // asked in vain: again without a wait
+        EXPECT_TRUE(
+            a.shouldRequest(at(t + 600), true, kInContact));  // the request failed: retried without a delay
         a.onConfigAccepted();
         EXPECT_FALSE(a.shouldRequest(at(t + 700), true, kInContact));
         times.insert(t);
@@ -29,8 +31,8 @@
     EXPECT_GT(times.size(), 20u);
 }
 
-// Beside a core that is cut off an agent that has just started holds out for one in contact, and takes what
-// there is once that has taken too long.
+// With only a cut-off core, a new agent waits for one in contact, and after kMaxContactWait takes what is
+// available.
 TEST(ConfigRequestPolicy, TheFirstConfigurationComesFromACoreInContactWhereOneIsHeardInTime) {
     ConfigRequestPolicy soon(1);
     EXPECT_FALSE(soon.shouldRequest(at(0), false, kOutOfContact));
@@ -43,7 +45,7 @@
     EXPECT_FALSE(never.shouldRequest(at(2501), false, ConfigOffer{false, true}));
 }
 
-// Bytes between zones: a core of the own zone is asked, one of another only where that does not help.
+// Saves traffic between zones: a core of another zone is asked only if none of the own zone helps in time.
 TEST(ConfigRequestPolicy, ACoreOfAnotherZoneIsAskedOnlyAfterAWhile) {
     constexpr ConfigOffer far{true, true, false}, near{true, true, true};
     ConfigRequestPolicy first(1);
--- a/system/control_plane/control.cpp
+++ b/system/control_plane/control.cpp
@@ -107,12 +107,12 @@
     keeperFd_ = eventfd(0, EFD_NONBLOCK | EFD_CLOEXEC);
     keeper_ = std::make_unique<consensus::Keeper>(
         *settings_.dataDir, keeperFd_, [told = false](const std::string& why) mutable {
-            if (!std::exchange(told, true)) spdlog::warn("state: {}: trying until it can be read", why);
+            if (!std::exchange(told, true)) spdlog::warn("state: {}: retrying until it can be read", why);
             consensus::Keeper::pauseBeforeReading(why);
         });
     auto taken = keeper_->takeFound();
     if (auto* problem = std::get_if<network::Problem>(&taken))
-        spdlog::error("{}; this machine's part of the state is taken for lost", problem->line());
+        spdlog::error("{}; this machine's copy of the state counts as lost", problem->line());
     std::optional<consensus::Durable> found;
     if (auto* whole = std::get_if<std::optional<consensus::Durable>>(&taken)) found = std::move(*whole);
     consensus::Options o;
@@ -244,13 +244,13 @@
     if (t.voters && a.how == consensus::Answer::done) {
         std::string all;
         for (const auto& ip : core_->voters()) all += (all.empty() ? "\"" : ",\"") + ip + "\"";
-        spdlog::info("voters: epoch {} is at work: {}", core_->epoch(), all);
+        spdlog::info("voters: epoch {} is in effect: {}", core_->epoch(), all);
         return visit->second->answer(
             200, kJsonHeader, "{\"epoch\":" + std::to_string(core_->epoch()) + ",\"voters\":[" + all + "]}");
     }
     if (a.how == consensus::Answer::conflict) {
         ++conflicts_;
-        spdlog::warn("configuration {}: refused, another text is in force under this version", t.version);
+        spdlog::warn("configuration {}: refused, this version already has another text", t.version);
         return visit->second->answer(
             409, kJsonHeader,
             errorBody("version " + std::to_string(t.version) + " has another text; take a higher one"));
@@ -361,7 +361,7 @@
     if (!value || (committedValue_ && !value->newerThan(*committedValue_))) return;
     auto text = configuration::unpackedOrPlain(value->body, network::kMostConfiguration);
     if (!text || configuration::digest(*text) != value->digest)
-        return spdlog::error("configuration {}: register: can't be unpacked", value->version);
+        return spdlog::error("configuration {}: the committed value cannot be unpacked", value->version);
     committedValue_ = value;
     configuration_ = configuration::trusted(*text);
     configTexts_.adopt({value->version, value->digest}, std::move(*text));
@@ -381,7 +381,7 @@
         scalerHost_->logCounters();
         scalerHost_.reset();
         reportBacklog_.clear();  // they belong to the old term
-        spdlog::info("startup duty of term {} given up", term);
+        spdlog::info("startup duty of term {} lost or released", term);
     }
     if (d.held && !scalerHost_) {
         spdlog::info("startup duty won, term {}", d.term);
@@ -605,7 +605,7 @@
     const auto voters = static_cast<int>(core_->voters().size());
     const int lost = core_->lostVoters(now);
     if (lost <= (voters - 1) / 2) {
-        if (isMajorityLossLogged_) spdlog::info("state: a majority of the disks is whole again");
+        if (isMajorityLossLogged_) spdlog::info("state: a majority of the disks is available again");
         majorityLostSince_ = Instant::never();
         isMajorityLossLogged_ = false;
         return;
@@ -613,8 +613,8 @@
     if (majorityLostSince_ == Instant::never()) majorityLostSince_ = now;
     if (isMajorityLossLogged_ || now - majorityLostSince_ < kMajorityLossDelay) return;
     isMajorityLossLogged_ = true;
-    spdlog::error("state: {} of {} disks count as lost: nothing is acknowledged until one is brought back",
-                  lost, voters);
+    spdlog::error("state: {} of {} disks count as lost: nothing is acknowledged until one is restored", lost,
+                  voters);
 }
 
 void Control::housekeep() {
--- a/system/control_plane/control_test.cpp
+++ b/system/control_plane/control_test.cpp
@@ -1,4 +1,5 @@
-// The control program whole, alone on its voters, with a disk in a folder of its own; asked over loopback.
+// Tests of the whole control program over loopback: alone as the only voter, and as a group of four, with
+// data folders of their own.
 #include "system/control_plane/control.hpp"
 
 #include <gtest/gtest.h>
@@ -29,7 +30,7 @@
            more;
 }
 
-// Ports of this address that nobody has: sockets that had them for a moment.
+// Returns a port of this address that is free: bound for a moment and closed again.
 uint16_t freePort(const std::string& ip) {
     int fd = socket(AF_INET, SOCK_STREAM, 0);
     sockaddr_in at{};
@@ -42,13 +43,13 @@
 }
 
 struct Got {
-    int status = 0;  // 0: no whole answer
+    int status = 0;  // 0: no complete response
     std::string body;
 };
-// Sends these bytes and ends its sending; reads till the end.
+// Sends these bytes, shuts down sending, and reads until the connection ends.
 Got rawAt(const std::string& ip, uint16_t port, const std::string& bytes) {
     int fd = socket(AF_INET, SOCK_STREAM, 0);
-    timeval operationTimeout{5, 0};  // only a failing test waits for so long
+    timeval operationTimeout{5, 0};  // only a failing test waits this long
     setsockopt(fd, SOL_SOCKET, SO_RCVTIMEO, &operationTimeout, sizeof operationTimeout);
     sockaddr_in at{};
     at.sin_family = AF_INET, at.sin_port = htons(port);
@@ -81,7 +82,7 @@
 class ControlTest : public ::testing::Test, public network::Watcher {
   protected:
     ControlTest() : wake_(eventfd(0, EFD_NONBLOCK)) {
-        // An address of this process alone, so that tests beside it take no port of ours.
+        // An address used by this process alone, so that parallel tests do not take its ports.
         ip_ = "127." + std::to_string(1 + getpid() / 254 % 250) + ".7." + std::to_string(1 + getpid() % 254);
         folder_ = std::filesystem::temp_directory_path() / ("control-test-" + std::to_string(getpid()));
         std::filesystem::remove_all(folder_);
@@ -121,7 +122,7 @@
     }
 
     Got raw(const std::string& bytes) { return rawAt(ip_, settings_.control->port, bytes); }
-    // Again after a 503, as operators do: the voters have to be agreed on first.
+    // Retries after a 503, as operators do: the voters have to be agreed on first.
     Got call(const std::string& method, const std::string& target, const std::string& body = "") {
         Got got;
         for (int i = 0; i < 20; ++i) {
@@ -159,20 +160,20 @@
     EXPECT_EQ(got.status, 200);
     EXPECT_EQ(got.body, R"({"config_version":7})");
     EXPECT_EQ(get().body, seven);
-    got = put(configuration(5));  // acknowledged, alters nothing
+    got = put(configuration(5));  // acknowledged, but changes nothing
     EXPECT_EQ(got.status, 200);
     EXPECT_EQ(got.body, R"({"config_version":7})");
     EXPECT_EQ(get().body, seven);
     EXPECT_EQ(put(seven).status, 200);
-    // Another text under the number that is held alters nothing, whatever its digest, and is not confirmed:
-    // two operators would both believe that theirs is in force.
+    // Another text under the current version changes nothing, whatever its digest, and is not acknowledged:
+    // otherwise two operators would both believe that theirs is in effect.
     for (const char* space : {"  ", "\n", "\t\t", " \t", "\n\n", "   "}) {
         got = put(configuration(7, space));
         EXPECT_EQ(got.status, 409);
         EXPECT_EQ(got.body, R"({"cause":"version 7 has another text; take a higher one"})");
         EXPECT_EQ(get().body, seven);
     }
-    EXPECT_EQ(put(seven).status, 200);  // the one that holds, sent again
+    EXPECT_EQ(put(seven).status, 200);  // the current one, sent again
     EXPECT_EQ(put(configuration(20)).status, 200);
     EXPECT_EQ(get().body, configuration(20));
 }
@@ -180,7 +181,7 @@
 TEST_F(ControlTest, WhatIsAcknowledgedOutlastsTheProcess) {
     EXPECT_EQ(put(configuration(7)).status, 200);
     end();
-    settings_.bootstrap = false;  // as of a machine that comes back
+    settings_.bootstrap = false;  // as on a machine that restarts
     begin();
     EXPECT_EQ(get().body, configuration(7));
 }
@@ -209,7 +210,8 @@
     for (const std::string& odd :
          {std::string("\0\xff\xfe", 3), std::string(100'000, '['), std::string("[]"), whole + "x"})
         EXPECT_EQ(put(odd).status, 400) << odd.substr(0, 20);
-    // A body that ends before its length is no request: nothing may be kept of it, though it is whole JSON.
+    // A body shorter than its Content-Length is not a request: it is not stored, although it is complete
+    // JSON.
     Got got =
         raw("PUT /configuration HTTP/1.1\r\nHost: x\r\nContent-Length: " + std::to_string(whole.size() + 1) +
             "\r\n\r\n" + whole);
@@ -231,10 +233,10 @@
     ASSERT_EQ(d["voters"].Size(), 1u);
     EXPECT_EQ(d["voters"][0].GetString(), ip_);
     EXPECT_EQ(d["agents_linked"].GetUint64(), 0u);
-    // Alone, it comes to hold the duty; then it tells of the planner.
+    // As the only core it wins the duty; from then on the status contains the planner.
     const Instant until = network::Loop::clock() + Span::seconds(10);
     while (!d["duty"]["held_here"].GetBool() && network::Loop::clock() < until) d = status();
-    ASSERT_TRUE(d.HasMember("planner"));  // from the first answer on that says so
+    ASSERT_TRUE(d.HasMember("planner"));  // from the first response that says so
     ASSERT_TRUE(d["duty"]["held_here"].GetBool());
     EXPECT_EQ(d["duty"]["holder"].GetString(), ip_);
     EXPECT_GT(d["duty"]["left_s"].GetDouble(), 0);
@@ -243,8 +245,8 @@
     EXPECT_EQ(d["planner"]["services_known"].GetUint64(), 1u);
 }
 
-// Calls without a pause between them: the core's own turns must come all the same, and whoever is told that
-// the duty is held here is told of the planner too.
+// Guards against continuous requests delaying the core's own ticks, and against a status that says that the
+// duty is held here but lacks the planner.
 TEST_F(ControlTest, CallsWithoutAPauseDoNotPutOffTheDuty) {
     EXPECT_EQ(put(configuration(7)).status, 200);
     std::atomic<bool> held = false, lacking = false;
@@ -291,7 +293,7 @@
     rapidjson::Document d = versionWhen([](const auto& s) { return s["agents"].Size() == 1; });
     ASSERT_EQ(d["agents"].Size(), 1u);
     EXPECT_EQ(d["agents"][0]["version"].GetInt64(), 4);
-    EXPECT_EQ(d["agents"][0]["name"].GetString(), "edge?" + std::string(123, 'x'));  // cut to 128
+    EXPECT_EQ(d["agents"][0]["name"].GetString(), "edge?" + std::string(123, 'x'));  // truncated to 128
     say(network::Kind::beat, network::packed(network::Beat{7, 0, 1, "", 0}));
     versionWhen(
         [](const auto& s) { return s["agents"].Size() == 1 && s["agents"][0]["version"].GetInt64() == 7; });
@@ -303,7 +305,7 @@
     Got got = call("POST", "/voters", R"({"gone":[")" + ip_ + R"("],"come":["127.9.9.9"]})");
     EXPECT_EQ(got.status, 409);
     EXPECT_EQ(got.body, R"({"cause":"127.9.9.9 is not heard of as a core whose disk may count"})");
-    // What is in force already is told again, as after an answer that was lost.
+    // A change already in effect is acknowledged again, as after a lost response.
     got = call("POST", "/voters", R"({"gone":["127.9.9.9"],"come":[")" + ip_ + R"("]})");
     EXPECT_EQ(got.status, 200);
     EXPECT_EQ(got.body, R"({"epoch":1,"voters":[")" + ip_ + R"("]})");
@@ -312,7 +314,7 @@
     EXPECT_EQ(status()["voters_epoch"].GetUint64(), 1u);
 }
 
-// Four programs with disks and sockets on loopback; the first three begin the system.
+// Four programs with disks and sockets on loopback; the first three bootstrap the system.
 class Controls : public ::testing::Test {
   protected:
     struct One {
@@ -347,7 +349,7 @@
         all_[i].turning->end();
         all_[i].control.reset();
     }
-    // Again after a 503, until the answer has this status and holds these words.
+    // Repeats the call until the response has this status and contains these words.
     std::string call(size_t i, const std::string& line, const std::string& body, int wanted,
                      const std::string& words = "") {
         const Instant last = network::Loop::clock() + Span::seconds(20);
@@ -367,8 +369,8 @@
     std::vector<One> all_;
 };
 
-// Three agree on who votes, one of them goes for good, the fourth takes its place at an operator's word, and
-// with one more away what was acknowledged before is read and a new one taken.
+// Three cores agree on the voters, one of them is lost, and the fourth replaces it on an operator's request.
+// With one more down, the acknowledged configuration is read and a new one is accepted.
 TEST_F(Controls, ACoreThatIsGoneIsReplaced) {
     call(0, "PUT /configuration", configuration(7), 200);
     begin(3);
@@ -376,18 +378,19 @@
     const std::string change = R"({"gone":[")" + ip(2) + R"("],"come":[")" + ip(3) + R"("]})";
     const std::string voters = R"("voters":[")" + ip(0) + R"(",")" + ip(1) + R"(",")" + ip(3) + R"("]})";
     EXPECT_EQ(call(0, "POST /voters", change, 200), R"({"epoch":2,)" + voters);
-    end(0);  // the one that came counts: it and the second are a majority
+    end(0);  // the new core counts: it and the second are a majority
     EXPECT_EQ(call(3, "GET /configuration", "", 200), configuration(7));
     call(1, "PUT /configuration", configuration(9), 200);
-    // As long as that of seventeen thousand functions: it is taken, and reaches the others' disks.
+    // As long as the configuration of 17000 functions: it is accepted and reaches the other disks.
     const std::string large = configuration(11, std::string(6400000, ' '));
     call(1, "PUT /configuration", large, 200);
     EXPECT_EQ(call(3, "GET /configuration", "", 200), large);
-    EXPECT_EQ(call(1, "POST /voters", change, 200), R"({"epoch":2,)" + voters);  // said again: as it is
+    EXPECT_EQ(call(1, "POST /voters", change, 200),
+              R"({"epoch":2,)" + voters);  // repeated: already in effect
 }
 
-// An agent whose link stays up is told of a core that comes later; else it would know none of them once all
-// that it was told of have been replaced.
+// An agent whose link stays up is informed of a core that joins later; otherwise it would know no core once
+// all those it knew were replaced.
 TEST_F(Controls, ALinkedAgentIsToldOfACoreThatComesLater) {
     call(0, "PUT /configuration", configuration(7), 200);
     network::Turning turning;
@@ -427,7 +430,7 @@
     turning.end();
 }
 
-// What an agent has is the base of what it gets: the change alone, and the whole where it has another text.
+// An agent gets a delta from the text it has, and the full text if it has another one.
 TEST_F(Controls, AnAgentGetsTheChangeFromWhatItHasAndElseTheWhole) {
     call(0, "PUT /configuration", configuration(7), 200);
     call(0, "PUT /configuration", configuration(8), 200);
@@ -476,15 +479,14 @@
     EXPECT_EQ(other.text(), configuration(8));
 }
 
-// The same without an operator's word.
+// The same without an operator's request.
 TEST_F(Controls, ACoreThatIsGoneIsReplacedWithoutAWord) {
     call(0, "PUT /configuration", configuration(7), 200);
     end(2);
     begin(3);
     call(3, "GET /status", "", 200, R"("counts":true)");
     call(1, "GET /status", "", 200, R"("voters_epoch":2)");
-    // The one that is gone is no voter any more; with two of three whole for each of the others one may be
-    // lost.
+    // The lost core is no longer a voter; with all three voters whole, one may be lost.
     call(0, "GET /status", "", 200, R"("ip":")" + ip(3) + R"(","votes":true,"catching_up":false)");
     call(0, "GET /status", "", 200, R"("losses_left":1)");
     call(1, "GET /status", "", 200, R"("counts":true)");
--- a/system/control_plane/report_backlog_test.cpp
+++ b/system/control_plane/report_backlog_test.cpp
@@ -7,7 +7,7 @@
 namespace petrelpond::control_plane {
 namespace {
 
-// However many came at once, a turn ends, and none is lost or overtakes another.
+// However many reports arrive at once, a turn is bounded, and none is lost or reordered.
 TEST(ReportBacklog, ACrowdIsTakenAFewATurnAndInOrder) {
     ReportBacklog b;
     for (uint64_t i = 0; i < 1000; ++i) b.push(Instant::atMicros(int64_t(i)), i % 60, std::to_string(i));
@@ -19,7 +19,8 @@
         b.processTurn([&](uint64_t link, const std::string& text) {
             EXPECT_EQ(link, seen.size() % 60);
             seen.push_back(text);
-            if (text == "7") b.push(Instant::atMicros(1000), 1000 % 60, "1000");  // one that comes meanwhile
+            if (text == "7")
+                b.push(Instant::atMicros(1000), 1000 % 60, "1000");  // a report that arrives meanwhile
         });
         ASSERT_GT(seen.size(), before);
         ASSERT_LE(seen.size() - before, ReportBacklog::kMaxPerTurn);
--- a/system/control_plane/scaler_host.cpp
+++ b/system/control_plane/scaler_host.cpp
@@ -131,7 +131,7 @@
     }
     if (!isReadyLogged_ && planner_.isReady()) {
         isReadyLogged_ = true;
-        spdlog::info("startup duty of term {}: what is there is known after {:.2f} s", term_,
+        spdlog::info("startup duty of term {}: learning finished after {:.2f} s", term_,
                      (loop_.now() - wonAt_).inSeconds());
     }
     Instant wake = std::min({planner_.wakeAt(), nextEndpointListAt_, nextWorkerListAt_});
@@ -242,7 +242,7 @@
                 planner_.onStarted(loop_.now(), nonce, stringField(d, "endpoint_id"),
                                    stringField(d, "address"));
             } else {
-                spdlog::debug("start: platform: status {}", status);
+                spdlog::debug("start: the platform answered with status {}", status);
                 planner_.onStartFailed(loop_.now(), nonce, status == 200 ? 0 : status);
             }
             schedulePump();
--- a/system/scaler/model_test.cpp
+++ b/system/scaler/model_test.cpp
@@ -1,4 +1,4 @@
-// The planner at size, for measuring: SCALER_MODEL=1 system_scaler_tests --gtest_filter='Model.*'.
+// Measures the planner at fleet size: SCALER_MODEL=1 system_scaler_tests --gtest_filter='Model.*'.
 #include <gtest/gtest.h>
 #include <time.h>
 
@@ -18,8 +18,8 @@
     return static_cast<double>(t.tv_sec) + static_cast<double>(t.tv_nsec) / 1e9;
 }
 
-// So many calls a second at each sender, of any function; a tenth finds no slot. Reports each 100 ms, obeyed
-// at once. 20 s, of which the last 10 are measured.
+// Simulates callsS calls per second at each sender, of random functions; one in ten finds no slot. Senders
+// report every 100 ms and apply grants at once. Runs 20 s, of which the last 10 are measured.
 void measure(size_t senders, size_t functions, double callsS) {
     std::mt19937 random(1);
     Instant now = Instant::atMicros(1000000);
--- a/system/scaler/planner_test.cpp
+++ b/system/scaler/planner_test.cpp
@@ -13,14 +13,15 @@
 
 Span ms(int64_t n) { return Span::millis(n); }
 
-// A planner with a clock of its own, three workers in two zones, and all outputs sorted by kind.
+// A planner with a simulated clock, three workers in two zones, two senders, and its outputs collected by
+// kind.
 struct Bench {
     Instant now = Instant::atMicros(1'000'000);
     Planner planner{now, 7, 1, 150, ms(800)};
     std::vector<StartCall> starts;
     std::vector<StopCall> stops;
     std::vector<GrantsMessage> tells;
-    std::map<std::pair<SenderId, std::string>, uint32_t> told;  // last number by sender and instance
+    std::map<std::pair<SenderId, std::string>, uint32_t> told;  // last granted slots by sender and instance
 
     explicit Bench(int slots = 2, int targetMs = 400) {
         planner.onConfiguration(now, {{"f", 128, ms(900), slots, ms(targetMs)}});
@@ -84,7 +85,7 @@
     Bench b(2, 1000);
     b.report("s1", 1, 0, 1);
     ASSERT_EQ(b.starts.size(), 1u);
-    EXPECT_EQ(b.starts[0].worker, "w1");  // the zone of the demand
+    EXPECT_EQ(b.starts[0].worker, "w1");  // the zone with demand
     EXPECT_LE(b.starts[0].nonce.size(), 64u);
     b.planner.onStarted(b.now, b.starts[0].nonce, "i1", "x:i1");
     b.pull();
@@ -92,7 +93,7 @@
     ASSERT_FALSE(b.tells.empty());
     EXPECT_GT(b.tells.back().grants.grants[0].upInMs, 500u);
     b.report("s1", 1, 0, 0, {b.held("i1", 1, 0)});
-    EXPECT_EQ(b.starts.size(), 1u);  // covered by the one that boots
+    EXPECT_EQ(b.starts.size(), 1u);  // covered by the booting instance
 }
 
 TEST(Planner, manyWaitingAreCoveredInOneStep) {
@@ -101,8 +102,8 @@
     EXPECT_GE(b.starts.size(), 3u);
 }
 
-// Thousands of reports a second on a small machine: those of one round cost one pass, and each sender one
-// word.
+// Guards against overload by thousands of reports per second on a small machine: reports of one turn cost one
+// pass and one message per sender.
 TEST(Planner, whatComesInOneRoundIsWeighedTogether) {
     Bench b(1, 1500);
     b.list({{"i1", false}, {"i2", false}, {"i3", false}}, 1);
@@ -118,8 +119,8 @@
     EXPECT_EQ(b.tells.back().grants.grants.size(), 3u);
 }
 
-// A crowd that waits where all is taken must not cost more the more wait, else a holder that fell behind
-// stays there.
+// Guards against a holder that never catches up: when no slot is free, waiting senders must not cause
+// searches for one.
 TEST(Planner, whereNoSlotIsFreeNobodyLooksForOne) {
     Bench b(1, 1500);
     b.list({{"i1", false}}, 1);
@@ -132,7 +133,7 @@
     const uint64_t before = b.planner.counters().slotSearches;
     for (int i = 3; i < 63; ++i) b.report("s" + std::to_string(i), 2, 0, 2);
     EXPECT_EQ(b.planner.counters().slotSearches, before);
-    b.report("s1", 0, 0, 0, {b.held("i1", 0, 0)});  // and one that comes free is found
+    b.report("s1", 0, 0, 0, {b.held("i1", 0, 0)});  // a slot that becomes free is found
     EXPECT_GT(b.planner.counters().slotSearches, before);
 }
 
@@ -147,14 +148,14 @@
     EXPECT_EQ((b.told.count({"s2", "i1"})), 0u);
     b.report("s1", 0, 0, 0, {b.held("i1", 0, 0)});
     EXPECT_EQ((b.told[{"s2", "i1"}]), 1u);
-    EXPECT_TRUE(b.starts.empty());  // its turn comes long before a boot would end
+    EXPECT_TRUE(b.starts.empty());  // it is served long before a boot would end
 }
 
 TEST(Planner, anOldHeldOfTheSameNumberDoesNotFreeASlot) {
     Bench b(1, 1500);
     b.list({{"i1", false}}, 1);
-    b.report("s1", 1, 0, 1);                        // told 1, not yet read
-    b.report("s1", 0, 0, 0, {b.held("i1", 0, 0)});  // sent before it was read
+    b.report("s1", 1, 0, 1);                        // granted 1, not yet read
+    b.report("s1", 0, 0, 0, {b.held("i1", 0, 0)});  // sent before the grant was read
     b.report("s2", 1, 0, 1);
     EXPECT_EQ((b.told.count({"s2", "i1"})), 0u);
 }
@@ -222,7 +223,7 @@
     EXPECT_EQ((b.told[{"s2", "i1"}]), 1u);
 }
 
-// Reports that wait unread with the holder: what one has said is among them.
+// While reports are queued unread at the holder, senders do not count as unresponsive.
 TEST(Planner, aHolderThatIsBehindDoesNotTakeTheOthersForSilent) {
     Bench b(1, 1500);
     b.list({{"i1", false}}, 1);
@@ -231,7 +232,7 @@
     b.report("s2", 1, 0, 1);
     for (int i = 0; i < 10; ++i) b.planner.onReportBacklog(b.now), b.wait(100);
     EXPECT_EQ((b.told.count({"s2", "i1"})), 0u);
-    b.wait(1500);  // no longer, and still no word
+    b.wait(1500);  // no backlog any more, and still no report
     EXPECT_EQ((b.told[{"s2", "i1"}]), 1u);
 }
 
@@ -246,8 +247,9 @@
     EXPECT_EQ(b.starts.size(), 1u);
 }
 
-// The holder slept, or its lists come seldom, and the word that the instance is up is still on its way: it is
-// not stopped at work for that. Two lists without it end it, as a start that never came up costs without end.
+// Guards against stopping a working instance when the holder was suspended, or gets lists rarely, and the
+// report that it is up is still in flight. Two lists without it end it, since a start that never came up
+// would cost forever.
 TEST(Planner, aStartIsGivenUpByListsAndNotByTheClock) {
     Bench b(2, 1000);
     b.report("s1", 1, 0, 1);
@@ -255,11 +257,11 @@
     b.planner.onStarted(b.now, b.starts[0].nonce, "i1", "x:i1");
     b.pull();
     b.report("s1", 0, 0, 0, {b.held("i1", 1, 0)});
-    b.wait(9000);  // its boot is 900 ms
+    b.wait(9000);  // its boot time is 900 ms
     EXPECT_EQ((b.told[{"s1", "i1"}]), 1u);
     EXPECT_TRUE(b.stops.empty());
     b.list({});
-    EXPECT_TRUE(b.stops.empty());  // may be older than the boot's end
+    EXPECT_TRUE(b.stops.empty());  // the list may be older than the end of the boot
     b.list({});
     b.wait(100);
     EXPECT_EQ((b.told[{"s1", "i1"}]), 0u);
@@ -274,12 +276,13 @@
     b.list({{"i1", true}});
     EXPECT_EQ((b.told[{"s1", "i1"}]), 0u);
     EXPECT_GE(b.starts.size(), 1u);
-    b.list({{"i1", false}});  // an older list does not bring it back
+    b.list({{"i1", false}});  // an older list does not undo draining
     b.report("s2", 1, 0, 1);
     EXPECT_EQ((b.told.count({"s2", "i1"})), 0u);
 }
 
-// A sender goes on calling instances that it had slots of, while it hears of no holder: not these.
+// A sender without a holder keeps calling instances whose slots it had. Grants with isEnding tell it which
+// ones not to.
 TEST(Planner, whatIsTakenBackIsNamedByItsIdAndWhetherItEnds) {
     Bench b;
     b.list({{"i1", false}});
@@ -295,7 +298,7 @@
     EXPECT_TRUE(last().service.empty() && last().address.empty());
 }
 
-// After a word that names no service an instance that nobody knows is not made up.
+// A report that names no service does not create an unknown instance.
 TEST(Planner, anUnknownInstanceWithoutItsServiceIsNotAdopted) {
     Bench b;
     b.report("s1", 0, 0, 0, {{"i9", "", "", 1, 1}});
@@ -311,7 +314,7 @@
     b.pull();
     b.report("s1", 1, 0, 0, {b.held("i1", 1, 0)}, {"i1"});
     b.report("s2", 0, 0, 0, {}, {"i1"});
-    EXPECT_EQ((b.told[{"s1", "i1"}]), 1u);  // boots refuse
+    EXPECT_EQ((b.told[{"s1", "i1"}]), 1u);  // booting instances refuse connections
     b.list({{"i1", false}});
     b.report("s1", 1, 0, 0, {}, {"i1"});
     EXPECT_EQ((b.told[{"s1", "i1"}]), 1u);
@@ -319,7 +322,7 @@
     b.report("s2", 0, 0, 0, {}, {"i1"});
     EXPECT_EQ((b.told[{"s1", "i1"}]), 0u);
     EXPECT_GT(b.starts.size(), before);
-    b.list({{"i1", false}});  // the dead stay listed for seconds
+    b.list({{"i1", false}});  // gone instances stay listed for seconds
     b.report("s2", 1, 0, 1);
     EXPECT_EQ((b.told.count({"s2", "i1"})), 0u);
 }
@@ -412,11 +415,12 @@
     while (auto o = p.next()) {
         auto* t = std::get_if<GrantsMessage>(&*o);
         if (!t) continue;
-        for (auto& g : t->grants.grants) EXPECT_EQ(g.slots, 0u) << t->to;  // only s2 may have it
+        for (auto& g : t->grants.grants) EXPECT_EQ(g.slots, 0u) << t->to;  // only s2 may hold it
     }
 }
 
-// Adopted from a sender's report, dead before this holder saw a list: no list ever names it.
+// An instance adopted from a sender's report that ended before this holder's first list: no list ever names
+// it.
 TEST(Planner, WhatDiedBeforeTheDutyChangedHandsIsLostByTheList) {
     Instant now = Instant::atMicros(1'000'000);
     Planner p(now, 7, 1, 150, ms(800));
@@ -444,7 +448,8 @@
     EXPECT_TRUE(started);
 }
 
-// The same holder under a higher term knows what it knew; it gives nothing before the senders' new reports.
+// The same holder under a higher term keeps its state, but grants nothing before the senders' new full
+// reports.
 TEST(Planner, AHolderThatIsVotedForAgainKeepsWhatItKnows) {
     Bench b(2, 1500);
     b.planner.onInstanceList(b.now, {{"i1", "f", "x:1", "a", "w1", 2, false}});
@@ -452,7 +457,7 @@
     b.tells.clear();
     Report r = b.whole();
     r.demands = {{"f", 1, 0, 1, 1, 0}};
-    b.planner.onReport(b.now, "s1", r);  // still of the former term
+    b.planner.onReport(b.now, "s1", r);  // still of the previous term
     b.wait(10);
     EXPECT_TRUE(b.tells.empty());
     r.term = 9;
@@ -477,7 +482,8 @@
     EXPECT_TRUE(patient.starts.empty());
 }
 
-// One long call among few does not make a rare function look busy, where its fellows' calls are short.
+// One long call among few does not make a rarely called function look busy if other functions with the same
+// configuration have short calls.
 TEST(Planner, aRareFunctionsWorkIsLearnedFromThoseConfiguredAlike) {
     Instant now = Instant::atMicros(1'000'000);
     Planner p(now, 7, 1, 150, ms(800));
@@ -517,9 +523,8 @@
     EXPECT_GT(at.back(), 80u);
 }
 
-// Random schedules: senders that read late, end, go silent, come back, and holders that are exchanged.
-// What is checked at every step is not what the planner thinks but what senders do: no instance has more
-// in use than it has slots.
+// Random schedules: senders that read late, end, go silent and come back, and holders that are replaced. Each
+// step checks what senders do rather than the planner's state: no instance has more slots in use than it has.
 struct Search {
     struct Tag {
         Instant at;
@@ -527,12 +532,13 @@
     };
     struct Agent {
         bool linked = false;
-        std::map<std::string, std::pair<uint32_t, uint32_t>> has;  // slots that it may use or uses, busy
-        std::map<std::string, uint32_t> may;                       // as last told
+        std::map<std::string, std::pair<uint32_t, uint32_t>>
+            has;                              // slots that it may use or still uses, busy
+        std::map<std::string, uint32_t> may;  // as last granted
         std::deque<Tag> inbox;
         std::deque<std::pair<Instant, Report>> outbox;
         std::set<std::string> named;
-        bool first = true, heard = false;  // heard: the planner has had its whole report
+        bool first = true, heard = false;  // heard: the planner has received its full report
         Instant back = Instant::never(), silentAt = Instant::never(), wakes = Instant::longAgo();
     };
     static constexpr uint32_t slots = 3;
@@ -541,11 +547,11 @@
     uint64_t term = 1;
     std::unique_ptr<Planner> planner;
     std::map<SenderId, Agent> agents;
-    std::map<std::string, Instant> live;  // instance: when up
+    std::map<std::string, Instant> live;  // instance: when it is up
     int made = 0, stopped = 0, stopsInUse = 0;
     uint64_t granted = 0;
 
-    bool freezes = false;  // senders that stand still are played too
+    bool freezes = false;  // also simulate senders that are suspended
 
     explicit Search(uint32_t seed) : rnd(seed) {
         fresh();
@@ -566,7 +572,7 @@
         a.back = a.silentAt = Instant::never();
         planner->onSenderLinked(now, id, id < "s2" ? "a" : "b");
     }
-    // Shrinks with the work, as the messages ask.
+    // Applies a grant; slots in use are returned as calls end.
     static void obey(Agent& a, const Grant& g) {
         auto& h = a.has[g.instance];
         a.named.insert(g.instance);
@@ -616,7 +622,7 @@
     bool sound() const {
         for (auto& [id, up] : live) {
             uint32_t n = 0;
-            for (auto& [who, a] : agents)  // one that stands still starts nothing
+            for (auto& [who, a] : agents)  // a suspended sender starts no calls
                 if (auto h = a.has.find(id); h != a.has.end())
                     n += now < a.wakes ? h->second.second : h->second.first;
             if (n > slots) return false;
@@ -628,7 +634,7 @@
         for (auto& [id, a] : agents) {
             if (now < a.wakes) continue;
             if (now >= a.back) link(id);
-            if (now >= a.silentAt) {  // without a holder for so long it uses nothing any more
+            if (now >= a.silentAt) {  // after this long without a holder it uses no slots
                 a.has.clear();
                 a.may.clear();
             }
@@ -637,7 +643,7 @@
                     for (auto& g : a.inbox.front().grants.grants) obey(a, g);
                 a.inbox.pop_front();
             }
-            for (auto& [inst, h] : a.has) {  // calls come and end
+            for (auto& [inst, h] : a.has) {  // calls start and end
                 uint32_t was = h.second, had = h.first, may = a.may[inst];
                 if (h.second > 0 && dice(8) == 0) --h.second;
                 if (h.second < may && dice(12) == 0) ++h.second;
@@ -656,16 +662,18 @@
         auto victim = agents.begin();
         std::advance(victim, dice(uint32_t(agents.size())));
         Agent& a = victim->second;
-        // Whoever stands still is not cut off as well: it can't read then what was asked back meanwhile.
+        // A suspended sender is not cut off as well: it could not read then what was recalled meanwhile.
         bool still = now < a.wakes + ms(100);
-        if (event == 0 && a.linked && !still) {  // killed: holds nothing any more
+        if (event == 0 && a.linked && !still) {  // killed: holds nothing
             a.linked = false;
             a.has.clear();
             a.may.clear();
             planner->onSenderUnlinked(now, victim->first, true);
             a.back = now + ms(200 + dice(800));
-        } else if (event == 1 && a.linked && a.heard && !still) {  // cut: uses on what it has, for a while
-            // Not before its slots were heard of: nobody can reserve them, as with another holder below.
+        } else if (event == 1 && a.linked && a.heard &&
+                   !still) {  // cut off: keeps using its slots for a while
+            // Only after its slots were reported: otherwise the holder cannot reserve them, as with a new
+            // holder below.
             a.linked = false;
             planner->onSenderUnlinked(now, victim->first, false);
             a.back = now + ms(dice(8000));
@@ -673,14 +681,14 @@
         } else if (event == 2 && k % 4 == 0 && std::none_of(agents.begin(), agents.end(), [&](const auto& x) {
                        return (!x.second.linked && !x.second.has.empty()) || now < x.second.wakes;
                    })) {
-            // Another holder: all links are new, it knows nothing. Not while a sender that is cut off still
+            // A new holder: all links are new and it knows nothing. Not while a sender that is cut off still
             // uses slots: no holder can know of those before the sender is back.
             ++term;
             fresh();
             for (auto& [id, x] : agents)
                 if (x.linked) link(id);
         }
-        // One stands still; its calls were told of.
+        // Suspends a sender after its calls were reported.
         if (freezes && a.linked && now >= a.wakes && dice(100) == 0) {
             send(a);
             for (auto& [at, r] : a.outbox) {
@@ -716,7 +724,7 @@
         granted += s.granted;
         made += s.made;
     }
-    EXPECT_GT(granted, 10'000u);  // else the search has looked at nothing
+    EXPECT_GT(granted, 10'000u);  // otherwise the schedules exercised nothing
     EXPECT_GT(made, 60);
     EXPECT_GT(lent, 40u);
 }
