--- a/system/proxy/dispatch.cpp
+++ b/system/proxy/dispatch.cpp
@@ -7,25 +7,26 @@
 
 namespace {
 
-constexpr double kDefaultCallSeconds = 0.1;            // seconds; of a kind never answered
-const Span kReportInterval = Span::millis(100);        // what is not urgent gathers for so long
-constexpr size_t kManyQueuedServices = 5;              // for so many requests wait here: a crowd
-const Span kCrowdedReportInterval = Span::millis(30);  // its reports
-const Span kDemandRepeatInterval = Span::millis(150);  // a want that was not met is said again
+constexpr double kDefaultCallSeconds = 0.1;      // for a request class without responses
+const Span kReportInterval = Span::millis(100);  // reports that are not urgent are batched for this long
+constexpr size_t kManyQueuedServices = 5;        // from this number on, urgent reports are batched
+const Span kCrowdedReportInterval = Span::millis(30);  // batching period of these
+const Span kDemandRepeatInterval = Span::millis(150);  // repeat interval of unmet demand
 const Span kProbeInterval = Span::millis(60);
-const Span kConnectBackoff = Span::millis(250);  // of an instance that just refused a connection
+const Span kConnectBackoff = Span::millis(250);  // after an instance refused a connection
 const Span kDeadReportInterval = Span::millis(200);
-const Span kFirstGrantDelay = Span::millis(400);  // thought to pass until the holder's first word
+const Span kFirstGrantDelay = Span::millis(400);  // estimated wait for the planner's first grants
 const Span kSlotTransferDelay =
-    Span::millis(100);  // a slot from another sender: two round trips between regions
+    Span::millis(100);  // estimated transfer of a slot from another proxy: two round trips between regions
 const Span kSweepInterval = Span::millis(50);
-const Span kFormerInstanceLifetime = Span::seconds(30);  // an instance of which we have no slot any more
-constexpr size_t kMaxFormerInstances = 8;                // such instances of a service
-constexpr double kMaxQueueTimeShare = 0.45;              // of the time that a request had; then it is told
+const Span kFormerInstanceLifetime = Span::seconds(30);  // after the last slot was returned
+constexpr size_t kMaxFormerInstances = 8;                // per service
+constexpr double kMaxQueueTimeShare =
+    0.45;  // share of its remaining time for which a request is queued before it is rejected
 
 }  // namespace
 
-// What may have run is decided here alone. Unsure is run.
+// The only place that decides whether a request may have executed. Uncertain outcomes count as executed.
 bool mayHaveExecuted(AttemptOutcome e) {
     switch (e) {
         case AttemptOutcome::notExecuted:
@@ -72,14 +73,14 @@
     else if (fewerProxiesSince_ == Instant::never())
         fewerProxiesSince_ = now;
     bool needsFullReport = linked && (term != term_ || !isLinked_);
-    if (term < term_) return;  // an old holder's word, or one that was passed on late
+    if (term < term_) return;  // from a former planner, or delivered late
     term_ = term, isLinked_ = linked;
     if (needsFullReport) sendReport(now, true);
 }
 
 void Dispatch::applyGrants(Instant now, const scaler::Grants& grants) {
-    // A holder that was overtaken, as one that slept, decides nothing here. What was granted under a higher
-    // term shows that as well as the standing does.
+    // A planner that has been replaced, for example while its process was suspended, must not decide anything
+    // here. Grants of a higher term show a replacement just as updatePlannerStatus() does.
     if (grants.term < std::max(term_, grantsTerm_)) return;
     grantsTerm_ = grants.term;
     if (grants.whole) {
@@ -90,14 +91,13 @@
                 if (!named && i->slots > 0) i->slots = 0, recordHeldSlots(*i);
             }
     }
-    std::vector<uint32_t> affectedServices,
-        servicesWithMoreSlots;  // servicesWithMoreSlots: more slots than before
+    std::vector<uint32_t> affectedServices, servicesWithMoreSlots;
     std::vector<InstanceIndex> instancesWithMoreSlots;
     bool anySlotsRevoked = false;
     for (const scaler::Grant& g : grants.grants) {
         auto found = instanceById_.find(g.instance);
         if (found == instanceById_.end()) {
-            if (g.slots == 0) {  // not known here: so nothing is held of it
+            if (g.slots == 0) {  // unknown here, so none of its slots are held
                 anySlotsRevoked = true;
                 if (g.ends)
                     for (Service& each : services_) forgetFormerInstance(each, g.instance);
@@ -110,7 +110,7 @@
             Instance& made = *instances_[ix];
             made.isReady = g.upInMs == 0;
             made.expectedReadyAt = now + Span::millis(g.upInMs);
-            // Starts vary by a third or more: looked at from two thirds of the time on.
+            // Boot times vary by a third or more, so probing starts at 60 % of the estimate.
             made.nextProbeAt = now + Span::millis(g.upInMs) * 0.6;
             found = instanceById_.find(g.instance);
         }
@@ -123,9 +123,9 @@
         i.isTerminating = g.ends;
         if (i.slots > 0) i.isReleased = false;
         if (more) instancesWithMoreSlots.push_back(found->second);
-        // Every number is answered, a higher one too: the holder lowers none that it has not seen arrive.
-        // Unanswered, a slot that lay idle here could not be asked back for three seconds while others waited
-        // for it.
+        // Every grant is acknowledged, increases included: the planner reduces only grants that it knows to
+        // have arrived. Without the acknowledgement, an idle slot could not be revoked for three seconds
+        // while other proxies waited for it.
         recordHeldSlots(i);
         services_[i.service].fleetSlots = g.fleetSlots;
         (more ? servicesWithMoreSlots : affectedServices).push_back(i.service);
@@ -140,10 +140,10 @@
         Instance* i = instances_[ix].get();
         if (i && i->slots == 0 && i->inFlight == 0) removeInstance(now, ix);
     }
-    // Somebody waits for what is taken back, and what lies idle may be asked back once its number is
-    // answered. Of slots that are in use at once the answer goes with the end of the call, or the next report
-    // that gathers: a word less for each call. Harm: a call that ends meanwhile frees its slot a round trip
-    // later.
+    // Reductions are acknowledged immediately because other proxies wait for the slots. Increases that leave
+    // a slot idle are too, as an idle slot can only be revoked once it is acknowledged. Slots that are in use
+    // immediately are acknowledged when the call ends or with the next periodic report, which saves a message
+    // per call. Drawback: a call that ends in the meantime frees its slot one round trip later.
     const bool idle =
         std::any_of(instancesWithMoreSlots.begin(), instancesWithMoreSlots.end(), [this](InstanceIndex ix) {
             const Instance* i = instances_[ix].get();
@@ -155,8 +155,8 @@
         scheduleWakeup(reportedAt_ + kReportInterval);
 }
 
-// What is still held of an instance after fewer slots were granted, or after a slot that was asked back
-// ended.
+// Records the slots still held of an instance, to be reported after a reduced grant or when a call on a
+// revoked slot ends.
 void Dispatch::recordHeldSlots(Instance& i) {
     uint32_t held = std::max(i.slots, i.inFlight);
     heldChanges_[i.info.id] = {i.info.id, services_[i.service].spec.name, i.info.address, held, i.inFlight};
@@ -200,11 +200,12 @@
     for (uint32_t service : all) dispatchQueued(now, service);
 }
 
-// An instance for a request that has no slot here while nobody grants any, as after a loss of the cores: one
-// that had a slot of ours not long ago. As a rule it has room, and where it is full it says so and has run
-// nothing: then others of the service are left alone for a while, and the request goes the way of all that
-// are turned away. One call at an instance at a time, one such send a request, paced by the bucket. Harm:
-// the calls of others that hold its slots may be turned away in its place.
+// Whether a request without a slot may be sent to an instance whose slot this proxy had recently, while no
+// planner grants slots (for example after control-plane members failed). Such an instance usually has room;
+// if it is full it says so without executing the request. The other instances of the service are then not
+// borrowed for a while, and the request is handled like any rejected one. There is at most one such call per
+// instance at a time and one per request, paced by the bucket. Drawback: calls of the proxies that hold the
+// slots may be rejected as full instead.
 bool Dispatch::mayBorrow(Instant now, Service& s, const Request& r) {
     if (!isPlannerSilent_ || r.attempts > 0) return false;
     std::erase_if(s.formerInstances, [now](const FormerInstance& each) { return now >= each.expiresAt; });
@@ -214,7 +215,7 @@
     return false;
 }
 
-// The one in our zone, else the one that was used longest ago.
+// Prefers an instance in this zone, else the one that was released first.
 InstanceIndex Dispatch::borrowInstance(Instant now, uint32_t service) {
     Service& s = services_[service];
     ++counters_.borrowed;
@@ -239,9 +240,10 @@
     freeIndices_.push_back(ix);
 }
 
-// Slots go from sender to sender and come back within seconds: a connection that stays open spares the next
-// call a round trip and a small instance another connection. Harm: all senders' idle connections together
-// must not use up what the instance takes, so each keeps its even part only.
+// Number of idle connections to keep to an instance after its last slot is returned. Slots move between
+// proxies and return within seconds, and an open connection saves the next call a round trip and a small
+// instance another accept. The idle connections of all proxies together must not exhaust the instance's
+// connection limit, so each proxy keeps only an even share of it.
 size_t Dispatch::maxIdleConnections(const Instance& i) const {
     constexpr double kIdleConnectionShare = 0.9;
     if (i.connectFailures > 0 || i.isReportedDead) return 0;
@@ -261,7 +263,7 @@
     double mean = s.meanSeconds > 0 ? s.meanSeconds : kDefaultCallSeconds;
     double own = 0;
     for (InstanceIndex ix : s.instances) own += instances_[ix]->slots;
-    // The fleet's rate over the senders told; a sender that was granted more than its even part uses that,
+    // An even share of the fleet's rate. A proxy that was granted more slots than its even share uses them,
     // as traffic is uneven.
     double even = s.fleetSlots / static_cast<double>(proxyCount_);
     return std::max(std::max(own, even) / mean, 1.0);
@@ -273,7 +275,7 @@
     return Span::seconds(mean > 0 ? mean : kDefaultCallSeconds);
 }
 
-// How long a request that comes now would wait behind `ahead` others.
+// Estimates the wait of a request that arrives now behind `ahead` others.
 Span Dispatch::expectedWait(Instant now, const Service& s, size_t ahead, bool slotMayTransfer) const {
     Instant first = Instant::never();
     double slots = 0;
@@ -284,12 +286,12 @@
         first = std::min(first, i.isReady ? std::max(now, i.backoffUntil) : std::max(now, i.expectedReadyAt));
     }
     double mean = s.meanSeconds > 0 ? s.meanSeconds : kDefaultCallSeconds;
-    // Without a word of the holder yet only this sender's slots are unknown; the instances may well run.
+    // Before the first grants of a planner only this proxy's slots are unknown; the instances may well be
+    // running.
     if (slots == 0 && (!isLinked_ || grantsTerm_ < term_)) return kFirstGrantDelay;
-    // The fleet has slots, though none is here: one is passed on sooner than an instance boots. Against
-    // requests that come once more with less time left than a boot takes, and were told at once that there is
-    // none. Harm: where all are busy, or gone since the holder's last word, one waits for a part of its time
-    // in vain.
+    // Other proxies have slots, and a transfer takes less time than a boot. Without this estimate, retried
+    // requests whose remaining time is shorter than a boot were rejected immediately. Drawback: when all
+    // slots are busy, or gone since the last grant, a request is queued in vain for part of its time.
     if (slots == 0 && slotMayTransfer && s.fleetSlots > 0)
         return kSlotTransferDelay + Span::seconds(mean * static_cast<double>(ahead) / 4);
     if (slots == 0)
@@ -312,8 +314,8 @@
     dispatchQueued(now, ix);
     auto still = requests_.find(a.id);
     if (still == requests_.end() || still->second.isInFlight) return;
-    // It waits. Where it surely can't be had in time it is told now, with when to come back.
-    size_t behind = 0;  // of lower priority: it is the last of its own
+    // The request is queued. If it cannot meet its deadline it is rejected now, with a Retry-After.
+    size_t behind = 0;  // queued requests of lower priority; it is the last of its own priority
     for (auto at = s.queue.rbegin(); at != s.queue.rend() && at->first.first > a.priority; ++at) ++behind;
     size_t ahead = s.queue.size() - behind - 1;
     Span wait = expectedWait(now, s, ahead, true);
@@ -351,7 +353,7 @@
         const Instance& i = *instances_[ix];
         if (!i.isReady || i.inFlight >= i.slots || now < i.backoffUntil) continue;
         double room = (i.slots - i.inFlight) / static_cast<double>(i.slots);
-        if (i.info.zone == options_.zone) room += 0.4;  // bytes between zones are dear, and it is nearer
+        if (i.info.zone == options_.zone) room += 0.4;  // traffic between zones is expensive and slower
         if (i.connectFailures > 0) room /= 4;
         if (ix == r.avoidInstance) room /= 100;
         if (!best || room > most) best = ix, most = room;
@@ -364,16 +366,17 @@
     scheduleWakeup(urgentReportAt(now));
 }
 
-// When what is urgent is reported: at once, but in a crowd a few times a tenth of a second. Against a holder
-// that falls behind by the reports of all senders when, after a loss, requests for many services wait at each
-// of them. Harm: a want is heard so much later while many others wait.
+// Time of the next urgent report: immediately, or batched while requests for many services are queued. After
+// a failure, when requests for many services wait at every proxy, the planner fell behind on the reports of
+// all proxies. Drawback: the planner learns of demand that much later.
 Instant Dispatch::urgentReportAt(Instant now) const {
     return queuedServices_.size() < kManyQueuedServices ? now
                                                         : std::max(now, reportedAt_ + kCrowdedReportInterval);
 }
 
-// More slots are a higher rate at once, and a wait reckoned by the old rate is shortened in step: bound while
-// it had no slot at all, a sender would else let one call a second go, however many slots it was given since.
+// Raises the pacing rate as soon as more slots are granted, and shortens a wait that was computed from the
+// old rate. A proxy whose bucket started pacing while it had no slot would otherwise send only one call per
+// second, no matter how many slots it was granted since.
 void Dispatch::raisePacingRate(Instant now, Service& s) {
     double rate = fairRate(s);
     if (!s.bucket.bound || s.bucket.rate >= rate) return;
@@ -381,12 +384,11 @@
     s.bucket.rate = rate;
 }
 
-// A request is held: the service's concurrency is taken, or its instance boots. From here on the bucket
-// binds.
+// Starts pacing a service: a request is queued because the slots are in use or the instance is booting.
 void Dispatch::startPacing(Instant now, Service& s) {
     bool fresh = !s.bucket.bound;
     s.bucket.bind(now, fairRate(s), random_);
-    // The source's bucket starts full: with no call out the first one held owes no wait.
+    // The bucket starts full: with no call in flight, the first queued request does not have to wait.
     if (fresh && s.inFlight == 0) s.bucket.tokens = 1;
     if (!s.isDemandReported || now - s.demandReportedAt > kDemandRepeatInterval) {
         s.isDemandReported = true, s.demandReportedAt = now;
@@ -440,7 +442,7 @@
     }
     if (!up) {
         i.nextProbeAt = now + kProbeInterval;
-        // Long over its time and still refusing: it is not there.
+        // Refuses connections well past its expected boot time, so it is considered dead.
         if (now > i.expectedReadyAt + Span::seconds(3) && !i.isReportedDead)
             deadInstances_.push_back(i.info.id), i.isReportedDead = true;
     }
@@ -457,9 +459,10 @@
     setPendingRetry(r, false);
     if (r.attempts > 1) s.retryBudget.recordRetry(now, options_.retryBudgetWindow), ++counters_.retries;
     r.isInFlight = true, r.instance = ix, r.sentAt = now;
-    // An answer may be lost and the connection stay silent. What may run again is given up once it is far
-    // beyond what this kind takes, while there is time for another; else it is waited for to its deadline.
-    // Harm: an endpoint that suddenly got that slow has its work thrown away once.
+    // A response may be lost while the connection stays open. An idempotent request is abandoned when its
+    // latency far exceeds that of its class and time is left for another attempt; otherwise the response is
+    // awaited until the deadline. Drawback: when an instance suddenly becomes that slow, its work is
+    // discarded once.
     Span patience;
     const auto& times = requestClasses_[r.classIndex].latencies;
     if (r.incoming.isIdempotent && r.attempts < r.incoming.maxAttempts && times.count >= 8 &&
@@ -477,8 +480,8 @@
     if (i.inFlight == 0) i.idleSince = now;
     if (!s.hasChanged) s.hasChanged = true, changedServices_.push_back(i.service);
     if (i.inFlight >= i.slots)
-        recordHeldSlots(i), requestUrgentReport(now);  // it was asked back and is free now
-    // Its number is not answered yet. Where others wait here it is in use again at once.
+        recordHeldSlots(i), requestUrgentReport(now);  // the slot was revoked and is free now
+    // The grant is not acknowledged yet. If requests are queued here, the slot is in use again immediately.
     if (s.queue.empty() && heldChanges_.count(i.info.id)) recordHeldSlots(i), requestUrgentReport(now);
 }
 
@@ -486,8 +489,8 @@
     ++i.connectFailures;
     i.backoffUntil = std::max(i.backoffUntil, now + kConnectBackoff * std::min(i.connectFailures, 4));
     scheduleWakeup(i.backoffUntil);
-    // Told again at each further miss: one sender's second word counts for the holder, and a word may be
-    // lost.
+    // Reported again at each further failure: the planner acts on the second report of a single proxy, and a
+    // report may be lost.
     if (i.connectFailures >= 2 && now - i.reportedDeadAt > kDeadReportInterval) {
         i.isReportedDead = true, i.reportedDeadAt = now;
         requestUrgentReport(now);
@@ -527,7 +530,7 @@
                 i->connectFailures = 0, i->isReportedDead = false;
                 break;
             case AttemptOutcome::notExecuted:
-                // Somebody else has its slots, or a call that we gave up still runs there.
+                // Another proxy has its slots, or a call that was abandoned still runs there.
                 if (i->slots == 0) {
                     ++counters_.borrowedNotExecuted;
                     s.nextBorrowAt = now + Span::seconds(random_.between(0.1, 0.3));
@@ -567,25 +570,25 @@
     dispatchQueued(now, service);
 }
 
-// Whether this sender may send one more request for a further time. Half of the slack is shared by the
-// senders: by the most that there were within a window, as an agent that has just started knows nobody yet
-// and tells of one. A sender that was started again has forgotten what it used: its part of the slack comes
-// back to it over one window, so that many short lives together use no more than one long life. Harm: after
-// a start the first answers that are lost are not made good here, but by their clients.
+// Whether this proxy may send one more retry. The proxies share half of the slack, divided by the maximum
+// number of proxies within a window, as an agent that has just started knows no other proxy and reports one.
+// A restarted proxy does not know how much it used: its share of the slack grows from zero over one window,
+// so that many short lives together use no more than one long life. Drawback: after a start, the first lost
+// responses are not retried by the proxy but by its clients.
 bool Dispatch::mayRetry(Instant now, Service& s) {
     if (now - options_.retryBudgetWindow > fewerProxiesSince_)
         maxProxyCount_ = proxyCount_, fewerProxiesSince_ = Instant::never();
     double part = options_.retryBudgetSlack / maxProxyCount_ / 2;
     if (options_.mayHaveRestarted && now - createdAt_ < options_.retryBudgetWindow)
         part *= (now - createdAt_).inSeconds() / options_.retryBudgetWindow.inSeconds();
-    // What was allowed and waits for a slot counts already: else a whole crowd that failed at once while no
-    // slot was free would be allowed one by one and sent together.
+    // Allowed retries that wait for a slot count too. Otherwise many requests that fail together while no
+    // slot is free would be allowed one by one and sent together.
     return s.retryBudget.allowsRetry(now, options_.retryBudgetWindow, options_.retryBudgetRatio,
                                      part - s.pendingRetries);
 }
 
-// Many are sent while the budget has room for one further send; the others wait on. Given up all the same,
-// they would end with a failure while their endpoint is at work and their client has time.
+// Many attempts may be sent while the budget has room for a single retry; the others keep waiting. If they
+// were abandoned anyway, they would fail although the instance is still working and the client has time.
 bool Dispatch::mayAbandonAttempt(Instant now, RequestId id) {
     auto found = requests_.find(id);
     if (found == requests_.end() || !found->second.isInFlight) return true;
@@ -599,12 +602,12 @@
     services_[r.service].pendingRetries += is ? 1 : -1;
 }
 
-// A request that was not answered: once more elsewhere, told that it has not run, or given up.
+// Handles a request without a response: retries it elsewhere, rejects it as not executed, or fails it.
 void Dispatch::retryOrFinish(Instant now, Request& r) {
     Service& s = services_[r.service];
     bool reachedInstance =
         r.lastOutcome != AttemptOutcome::connectFailed && r.lastOutcome != AttemptOutcome::notSent;
-    if (!reachedInstance) --r.attempts;  // no endpoint has seen it
+    if (!reachedInstance) --r.attempts;  // no instance has received it
     bool mayExecuteAgain = r.incoming.isIdempotent || !r.mayHaveExecuted;
     bool timeLeft = now + expectedCallTime(s, r) < r.incoming.deadline;
     bool budgetAllows = !reachedInstance || (r.attempts < r.incoming.maxAttempts && mayRetry(now, s));
@@ -635,7 +638,7 @@
 }
 
 void Dispatch::rejectRequest(Instant now, Request& r, bool atOnce) {
-    if (r.mayHaveExecuted) {  // the promise can't be given
+    if (r.mayHaveExecuted) {  // it must not be reported as not executed
         dequeue(r);
         ++counters_.failed;
         if (r.lastOutcome == AttemptOutcome::serverError)
@@ -649,7 +652,9 @@
     Service& s = services_[r.service];
     dequeue(r);
     Span wait = expectedWait(now, s, s.queue.size() / 2, false);
-    wait = wait + Span::seconds(random_.between(0.05, 0.25));  // the design's random extra on every wait
+    wait =
+        wait + Span::seconds(random_.between(
+                   0.05, 0.25));  // random delay added to every wait, so that clients do not return together
     outputs_.push_back(RejectRequest{
         r.incoming.id, 503, std::min(wait, std::max((r.incoming.deadline - now) * 0.33, Span::millis(50)))});
     eraseRequest(r);
@@ -669,7 +674,7 @@
 
 void Dispatch::sendReport(Instant now, bool whole) {
     isReportUrgent_ = false;
-    if (!isLinked_) {  // nobody hears; what is still so is told to the next holder
+    if (!isLinked_) {  // no planner is connected; the next one gets a full report
         reportedAt_ = now;
         return;
     }
@@ -686,7 +691,7 @@
         for (auto& i : instances_)
             if (i) {
                 recordHeldSlots(*i);
-                // Another holder has not heard what was told to the one before.
+                // A new planner does not know what its predecessor was told.
                 if (i->isReportedDead && std::find(deadInstances_.begin(), deadInstances_.end(),
                                                    i->info.id) == deadInstances_.end())
                     deadInstances_.push_back(i->info.id);
@@ -708,7 +713,7 @@
     }
     changedServices_.clear();
     for (auto& [id, held] : heldChanges_) {
-        // The holder that has had a whole report knows them by their ids.
+        // After a full report the planner knows service and address by the instance id.
         if (!whole) held.service.clear(), held.address.clear();
         out.held.push_back(std::move(held));
     }
--- a/system/proxy/dispatch.hpp
+++ b/system/proxy/dispatch.hpp
@@ -1,9 +1,15 @@
-// Which request goes to which instance now, which waits, and which is told at once that it has not run: the
-// decisions of one proxy, without I/O, clocks or threads. Inputs carry `now`; outputs are pulled by next().
+// Decides for one proxy which request is sent to which instance, which is queued, and which is rejected as
+// not executed. Contains no I/O, clocks or threads: inputs carry `now`, and the caller pulls the resulting
+// actions with next().
 //
-// Per service (the destination) the design's bound one-token bucket paces the starts. It binds when a request
-// is held: the function's concurrency is taken, or its instance boots; or when an instance answers full.
-// Slots of instances are this proxy's own, as the holder of the startup duty granted them.
+// Each service has a one-token bucket that paces its requests. Pacing starts when a request is queued because
+// the service's slots are in use or its instance is still booting, or when an instance answers that it is
+// full. A slot is permission for one concurrent call at an instance; the planner grants each proxy slots of
+// its own. The planner is the control-plane member that holds the startup duty; to it, an agent and its proxy
+// are one sender.
+//
+// Throughout this folder, a request that "may have executed" is never sent again unless it is idempotent, and
+// a rejection states that the request has not been executed.
 #pragma once
 
 #include <array>
@@ -33,56 +39,57 @@
     std::string name;
     int maxConcurrency = 1;
     Span boot;
-    int maxConnections = 0;  // that one instance takes from all senders together; 0: not known
+    int maxConnections = 0;  // per instance, shared by all proxies; 0: unknown
 };
 
 struct IncomingRequest {
     RequestId id = 0;
     std::string service;
     bool isIdempotent = false;
-    int priority = 2;     // 0 is highest
-    int maxAttempts = 1;  // endpoints that it may be sent to
-    Instant deadline;     // the client's or the route's, whichever is sooner
-    Span targetLatency;   // the time within which it earns its full worth
-    Span routeTimeout;    // the route's; with the fields above it tells kinds of request apart
+    int priority = 2;     // 0 is the highest
+    int maxAttempts = 1;  // maximum number of instances it may be sent to
+    Instant deadline;     // the earlier of the client's and the route's
+    Span targetLatency;   // answers within this time have their full value
+    Span routeTimeout;    // with the fields above, identifies the request class
 };
 
-// How a request that was sent ended. One place says what that means for running it again: mayHaveRun().
+// How an attempt to run a request on an instance ended. Only mayHaveExecuted() decides what an outcome means
+// for a retry.
 enum class AttemptOutcome : uint8_t {
-    answered,          // an answer that is the client's
-    serverError,       // the endpoint's own failure (5xx), which counts as run
-    notExecuted,       // the endpoint says that it did not run it: full
-    misdirected,       // 421: another endpoint has the address
-    connectFailed,     // no connection came up; nothing was sent
-    notSent,           // the connection ended before any byte of the request had left
-    connectionBroken,  // reset, closed, or bytes that are no answer, after something was sent
-    timedOut,          // given up by us after something was sent
+    answered,          // a response to forward to the client
+    serverError,       // 5xx from the instance; counts as executed
+    notExecuted,       // the instance says that it did not execute the request, because it is full
+    misdirected,       // 421: the address now belongs to another instance
+    connectFailed,     // no connection was established; nothing was sent
+    notSent,           // the connection ended before any byte of the request was sent
+    connectionBroken,  // reset, closed or invalid response after bytes were sent
+    timedOut,          // abandoned by this proxy after bytes were sent
 };
 bool mayHaveExecuted(AttemptOutcome);
 
 struct SendRequest {
     RequestId id;
     InstanceIndex instance;
-    Span attemptTimeout;  // give it up as silent after this; zero: at its deadline
+    Span attemptTimeout;  // abandon the attempt after this; zero: at its deadline
 };
-struct RejectRequest {  // has not run and never will
+struct RejectRequest {  // the request has not been executed and will not be
     RequestId id;
     int status;
     Span retryAfter;
 };
-struct FailRequest {  // may have run: 502 or 504, or the endpoint's own failure where there is one
+struct FailRequest {  // may have executed: 502 or 504, or the instance's own error response if there is one
     RequestId id;
     int status;
 };
-struct ForwardResponse {  // the answer that the host holds for this request
+struct ForwardResponse {  // forward the response that the proxy stored for this request
     RequestId id;
 };
-struct ProbeInstance {  // see whether it takes a connection
+struct ProbeInstance {  // check whether the instance accepts connections
     InstanceIndex instance;
 };
-struct ReleaseInstance {  // no slot of it is ours any more
+struct ReleaseInstance {  // this proxy has no slot of the instance left
     InstanceIndex instance;
-    size_t maxIdleConnections;  // so many idle connections to it may stay open, as a slot may come back
+    size_t maxIdleConnections;  // idle connections that may stay open in case a slot returns
 };
 struct SendReport {
     scaler::Report report;
@@ -99,7 +106,7 @@
              retries = 0, failed = 0;
     uint64_t notExecuted = 0, misdirected = 0, connectionBroken = 0, timedOut = 0, connectFailed = 0,
              probes = 0, reports = 0;
-    uint64_t borrowed = 0, borrowedNotExecuted = 0;  // sent without a slot of ours; turned away as full
+    uint64_t borrowed = 0, borrowedNotExecuted = 0;  // sent without a slot; of these, rejected as full
 };
 
 class Dispatch {
@@ -109,30 +116,30 @@
         std::string zone;
         double retryBudgetRatio = 0.2, retryBudgetSlack = 50;
         Span retryBudgetWindow = Span::seconds(10);
-        // An earlier life may have made further sends that nobody here remembers.
+        // A previous process may have sent retries that this one does not know of.
         bool mayHaveRestarted = false;
     };
     Dispatch(Instant now, Options);
 
-    // So many may wait at most. Beyond, who can't be sent at once is told so: those who wait hold a
-    // connection each, and where none is left a client is reset without a word of when to come back.
+    // Limits the queue. Beyond it, a request that cannot be sent immediately is rejected: each queued request
+    // occupies a client connection, and once none is left clients are reset without a Retry-After.
     void setMaxQueued(size_t maxQueued) { maxQueued_ = maxQueued; }
     void updateServices(Instant now, const std::vector<ServiceSpec>&);
-    // The holder that is reported to, and the number of living senders. A new term or link asks for all anew.
+    // Sets the current planner's term, whether it is connected, and the number of live proxies. A new term or
+    // a new connection triggers a full report.
     void updatePlannerStatus(Instant now, uint64_t term, bool linked, uint32_t proxyCount);
-    void onPlannerDisconnected() { isLinked_ = false; }  // the way to the holder is broken
-    // Nothing is heard of the holder: who waits without a slot may borrow one, see borrow().
+    void onPlannerDisconnected() { isLinked_ = false; }  // the connection to the planner is lost
+    // While the planner is silent, a queued request may borrow a slot, see borrowInstance().
     void setPlannerSilent(Instant now, bool);
     void applyGrants(Instant now, const scaler::Grants&);
     void onRequest(Instant now, const IncomingRequest&);
-    void cancelRequest(Instant now, RequestId);  // its client has gone; nothing is answered
+    void cancelRequest(Instant now, RequestId);  // the client has disconnected; nothing is answered
     void onAttemptEnded(Instant now, RequestId, AttemptOutcome);
-    // Whether a request that was sent with patience may be given up now that it is over.
+    // Whether an attempt whose attemptTimeout has passed may be abandoned.
     bool mayAbandonAttempt(Instant now, RequestId);
     void onProbeResult(Instant now, InstanceIndex, bool up);
     void startDraining(Instant now);
-    void rejectQueued(
-        Instant now);  // all that wait are told that they have not run; the process is about to end
+    void rejectQueued(Instant now);  // rejects all queued requests as not executed, before the process exits
     void tick(Instant now);
     Instant wakeAt() const { return wakeAt_; }
     std::optional<Output> next();
@@ -140,46 +147,46 @@
     const InstanceInfo* findInstance(InstanceIndex) const;
     bool isQueued(RequestId id) const;
     const Counters& counters() const { return counters_; }
-    size_t queuedCount() const { return queuedCount_; }  // requests that wait
+    size_t queuedCount() const { return queuedCount_; }  // number of queued requests
 
   private:
-    struct RequestClass {  // requests alike: their answer times are learned together, as rare functions see
-                           // few
+    struct RequestClass {  // requests whose latencies are learned together, as a rare function alone yields
+                           // few samples
         policy::AnswerTimes latencies;
-        double meanSeconds = 0;  // seconds; of answers
+        double meanSeconds = 0;  // of answered requests
     };
     struct Instance {
         InstanceInfo info;
         uint32_t service = 0;
         uint32_t slots = 0, inFlight = 0;
         bool isReady = false, isProbing = false, isReleased = false;
-        Instant expectedReadyAt;  // when its start is thought to be over
+        Instant expectedReadyAt;  // estimated end of its boot
         Instant nextProbeAt = Instant::longAgo();
-        Instant backoffUntil = Instant::longAgo();  // it just refused: not before
+        Instant backoffUntil = Instant::longAgo();  // no request is sent before this, as it refused one
         Instant idleSince;
-        int connectFailures = 0;  // failed connects and breaks since it last answered
+        int connectFailures = 0;  // failed and broken connections since its last response
         bool isReportedDead = false;
-        bool isTerminating = false;  // as the holder said
+        bool isTerminating = false;  // announced by the planner
         Instant reportedDeadAt = Instant::longAgo();
     };
-    // An instance that had a slot of ours not long ago.
+    // An instance of which this proxy recently had a slot.
     struct FormerInstance {
         InstanceInfo info;
-        Instant expiresAt;  // then it is forgotten
+        Instant expiresAt;  // forgotten after this
     };
     struct Service {
         ServiceSpec spec;
         bool isConfigured = false;
         std::vector<InstanceIndex> instances;
-        std::map<std::pair<int, uint64_t>, RequestId> queue;  // by priority, then in order
+        std::map<std::pair<int, uint64_t>, RequestId> queue;  // by priority, then by order of arrival
         policy::Bucket bucket;
         RetryBudget retryBudget;
-        uint32_t pendingRetries = 0;  // further sends that were allowed and have not gone out yet
-        double meanSeconds = 0;       // seconds of a call; 0: none seen
+        uint32_t pendingRetries = 0;  // retries that were allowed and are not sent yet
+        double meanSeconds = 0;       // mean call duration; 0: none measured
         uint32_t inFlight = 0, peakDemand = 0, arrivals = 0;
         uint32_t fleetSlots = 0;
         std::vector<FormerInstance> formerInstances;  // oldest first
-        Instant nextBorrowAt = Instant::longAgo();    // not before, as one was full
+        Instant nextBorrowAt = Instant::longAgo();    // no borrowing before this, as an instance was full
         bool hasChanged = false, isDemandReported = false;
         Instant demandReportedAt = Instant::longAgo();
     };
@@ -203,10 +210,12 @@
     void startPacing(Instant now, Service&);
     void raisePacingRate(Instant now, Service&);
     Instant urgentReportAt(Instant now) const;
-    void requestUrgentReport(Instant now);  // a report in this round, not with the next that gathers
+    void requestUrgentReport(
+        Instant now);  // sends a report in this round instead of with the next periodic one
     std::optional<InstanceIndex> pickInstance(Instant now, const Service&, const Request&) const;
     double fairRate(const Service&) const;
-    // slotMayTransfer: as a slot that another sender has may be ours soon; not for when to come back.
+    // slotMayTransfer: assume that a slot of another proxy may be reassigned to this one soon. Not assumed
+    // for Retry-After.
     Span expectedWait(Instant now, const Service&, size_t ahead, bool slotMayTransfer) const;
     Span expectedCallTime(const Service&, const Request&) const;
     void sendRequest(Instant now, Request&, InstanceIndex);
@@ -239,16 +248,17 @@
     std::unordered_map<RequestId, Request> requests_;
     std::map<std::array<int64_t, 4>, uint32_t> requestClassByKey_;
     std::vector<RequestClass> requestClasses_;
-    std::multimap<Instant, RequestId> queueDeadlines_;  // until when a request may wait; looked at in sweeps
+    std::multimap<Instant, RequestId>
+        queueDeadlines_;  // latest time to stay queued; checked in rejectOverdue()
     std::deque<Output> outputs_;
     std::vector<std::string> deadInstances_, readyInstances_;
     std::map<std::string, scaler::Held> heldChanges_;
     std::vector<uint32_t> changedServices_;
-    std::set<uint32_t> queuedServices_;  // services for which requests wait
+    std::set<uint32_t> queuedServices_;  // services with queued requests
     uint64_t term_ = 0, grantsTerm_ = 0, lastSequence_ = 0;
-    bool isPlannerSilent_ = false;  // nothing is heard of the holder
+    bool isPlannerSilent_ = false;  // nothing has been heard from the planner
     bool isLinked_ = false, isReportUrgent_ = false, isDraining_ = false;
-    uint32_t proxyCount_ = 1, maxProxyCount_ = 1;  // as told; the most of them within a window
+    uint32_t proxyCount_ = 1, maxProxyCount_ = 1;  // as reported; the maximum within a window
     Instant fewerProxiesSince_ = Instant::never();
     Instant createdAt_;
     Instant reportedAt_, wakeAt_, nextSweepAt_;
--- a/system/proxy/main.cpp
+++ b/system/proxy/main.cpp
@@ -1,4 +1,4 @@
-// petrel-proxy: the proxy on an edge machine. Takes requests from clients and carries them to instances.
+// petrel-proxy: the proxy on an edge machine. Receives requests from clients and forwards them to instances.
 #include <csignal>
 #include <cstdio>
 
@@ -21,7 +21,7 @@
     }
     loop.onSignal(SIGTERM, [&] { proxy.startDraining(); });
     loop.onSignal(SIGINT, [&] { proxy.startDraining(); });
-    loop.onSignal(SIGHUP, [] {});  // nothing of the settings that changes concerns the proxy
+    loop.onSignal(SIGHUP, [] {});  // no setting that can change at run time concerns the proxy
     loop.onSignal(SIGUSR1, [&] { proxy.logCounters(); });
     loop.run();
     return 0;
--- a/system/proxy/proxy.cpp
+++ b/system/proxy/proxy.cpp
@@ -17,13 +17,16 @@
 
 namespace {
 
-const Span kConnectTimeout = Span::millis(700);          // for a connection to an instance to come up
-const Span kUnacknowledgedTimeout = Span::millis(2500);  // unacknowledged for so long: the machine is gone
+const Span kConnectTimeout = Span::millis(700);  // for connecting to an instance
+const Span kUnacknowledgedTimeout =
+    Span::millis(2500);  // a peer that acknowledges nothing for this long is considered gone
 constexpr size_t kMaxResponseBodyBytes = 16u << 20;
-const Span kMaxIdle = Span::seconds(8);                   // a kept connection that nobody uses
-const Span kRejectNewBeforeKill = Span::millis(1600);     // before the kill: no request is taken on any more
-const Span kRejectQueuedBeforeKill = Span::millis(1300);  // before the kill: none waits any more
-const Span kMaxIdleNonIdempotent = Span::millis(900);     // one that a once-only request may still trust
+const Span kMaxIdle = Span::seconds(8);  // longest idle time of a kept connection
+const Span kRejectNewBeforeKill =
+    Span::millis(1600);  // before the process is killed: new requests are rejected from here on
+const Span kRejectQueuedBeforeKill =
+    Span::millis(1300);  // before the process is killed: queued requests are rejected
+const Span kMaxIdleNonIdempotent = Span::millis(900);  // longest idle time before a non-idempotent request
 
 bool isHopByHop(std::string_view name) {
     for (const char* each :
@@ -33,8 +36,8 @@
     return false;
 }
 
-// What the way itself needs is not to be struck out by naming it in Connection: without its id a request does
-// not run, and without the seal a success is none.
+// Fields that the protocol itself needs cannot be removed by naming them in Connection: a request is not
+// executed without its attempt id, and a success is not accepted without the seal.
 bool isEndToEnd(std::string_view name) {
     return http::sameName(name, "Host") || http::sameName(name, "X-Attempt-Id") ||
            http::sameName(name, "X-Endpoint-Seal");
@@ -58,7 +61,7 @@
 
 }  // namespace
 
-// --- readiness ---------------------------------------------------------------------------------------------
+// --- Readiness check ---
 
 bool ReadinessServer::listen(network::Address at, std::string& error) {
     limits_.idleTimeout = Span::seconds(30);
@@ -91,7 +94,7 @@
     for (HttpVisit* visit : all) visit->look();
 }
 
-// --- a connection to an instance ---------------------------------------------------------------------------
+// --- Connections to instances ---
 
 struct Proxy::InstanceConnection final : network::StreamOwner {
     Proxy& proxy;
@@ -101,11 +104,11 @@
     std::unique_ptr<Stream> stream;
     RequestId requestId = 0;  // 0: none
     bool isProbe = false, isIdle = false;
-    bool isParked = false;  // idle, and no slot of its instance is ours
+    bool isParked = false;  // idle, and this proxy has no slot of its instance
     ResponseReader reader{kMaxResponseBodyBytes};
     network::TimerId timer = 0;
     Instant connectBy, attemptTimeoutAt, deadline, idleSince;
-    Span maxIdle = kMaxIdle;  // as the endpoint told
+    Span maxIdle = kMaxIdle;  // announced by the instance
 
     InstanceConnection(Proxy& p, uint64_t i, InstanceIndex a, std::string name)
         : proxy(p), id(i), instanceIndex(a), instanceId(std::move(name)) {}
@@ -121,7 +124,7 @@
     void data(Stream&) override { proxy.onResponseData(*this); }
     void ended(Stream& s, int) override {
         if (requestId != 0 && !s.in().empty()) {
-            // What came may be a whole answer that the close followed.
+            // The bytes may be a complete response that preceded the close.
             proxy.onResponseData(*this);
             if (requestId == 0 || stream->in().empty()) return;
         }
@@ -137,7 +140,7 @@
     }
 };
 
-// --- the proxy ---------------------------------------------------------------------------------------------
+// --- Proxy ---
 
 Proxy::Proxy(network::Loop& loop, const configuration::Settings& settings, uint32_t chance,
              std::string loopback)
@@ -156,12 +159,13 @@
     }
     auto front = network::Address::parse(settings_.front->text());
     auto ready = network::Address::parse(settings_.readiness->text());
-    // Descriptors are for requests under way first: beyond the bound a new connection ends unread, and its
-    // client goes elsewhere. 200 are the platform's for files, some our own; each request may take two.
+    // Descriptors are reserved for requests in flight: beyond the limit a new connection is closed unread and
+    // its client goes elsewhere. Of the 300 set aside, 200 are the platform's for files and the rest serves
+    // this process; each request may take two.
     maxVisits_ = static_cast<size_t>(std::max(64, settings_.limits.fileDescriptors - 300)) * 2 / 3;
     dispatch_.setMaxQueued(maxVisits_ / 2);
     maxParked_ = maxVisits_ / 4;
-    // A body lies in several places on its way: as it came, in the kernel, and as it goes on.
+    // A body is buffered in several places on its way: as received, in the kernel, and as forwarded.
     maxBufferedBytes_ = static_cast<size_t>(settings_.limits.memoryMb) * 1'000'000 / 8;
     listener_ = network::Listener::open(
         loop_, *front,
@@ -221,10 +225,11 @@
 }
 
 void Proxy::applyConfiguration(const network::Config& c) {
-    // Never backwards: what an older version allows is not served once a newer one was.
+    // Never applies an older version: what it allows must not be served once a newer version was in force.
     const configuration::Taking how = configurationText_.take(c);
     if (how == configuration::Taking::older) return;
-    if (how != configuration::Taking::taken) {  // as after a start between two versions: the whole, please
+    if (how != configuration::Taking::taken) {  // e.g. after a start between two versions: request the full
+                                                // configuration
         ++fullConfigRequests_;
         agentLink_->say(Kind::want, network::Beat{});
         return;
@@ -244,13 +249,15 @@
 
 void Proxy::asked(HttpVisit& visit, HttpRequest&& request) {
     auto notRun = [&](Span wait) { visit.answer(503, retryAfterField(wait), "", isDraining_); };
-    if (!routes_) {  // without a configuration nothing is known of any route: no 404
+    if (!routes_) {  // without a configuration no route is known to be missing, so no 404
         ++notReady_;
-        return notRun(Span::millis(300) +
-                      Span::seconds(random_.between(0.05, 0.25)));  // the design's random extra
+        return notRun(
+            Span::millis(300) +
+            Span::seconds(random_.between(0.05, 0.25)));  // random, so that clients do not return together
     }
-    // Where few senders are left the platform goes on sending here to the end. What could no more be finished
-    // before the process is killed is told at once that it has not run. Harm: what would have been quick.
+    // With few proxies left, the platform sends requests here until the end. A request that may not finish
+    // before the process is killed is rejected as not executed. Drawback: this includes requests that would
+    // have been quick.
     if (isDraining_ && loop_.now() - drainingSince_ > settings_.bounds.grace - kRejectNewBeforeKill) {
         visit.answer(503, retryAfterField(Span::millis(50)), "", true);
         return;
@@ -262,8 +269,8 @@
         ++noRoute_;
         return visit.answer(404, "", "", isDraining_);
     }
-    // A process over its memory is killed, with all that it has under way. Harm: who comes with nothing to
-    // carry is told to come back as well.
+    // A process that exceeds its memory limit is killed with all its requests in flight. Drawback: small
+    // requests are rejected as well.
     if (bufferedBytes_ + request.raw.size() + request.body.size() > maxBufferedBytes_) {
         ++rejectedForMemory_;
         Span wait = Span::millis(200) + Span::seconds(random_.between(0.05, 0.25));
@@ -273,7 +280,8 @@
     if (!id || id->empty()) return visit.answer(400, "", "X-Attempt-Id is missing\n", isDraining_);
     Span left = route->timeout;
     if (auto told = request.head.field("X-Time-Remaining")) {
-        // Compared as numbers: one beyond all spans would come out of the conversion as long past.
+        // Compared as floating-point numbers: a value beyond the range of Span would convert to a time in the
+        // past.
         auto ms = http::decimal(*told);
         if (ms && *ms >= 0 && *ms / 1000 < left.inSeconds()) left = Span::seconds(*ms / 1000);
     }
@@ -307,7 +315,7 @@
     if (visit.tag == 0) return;
     auto found = exchanges_.find(visit.tag);
     if (found == exchanges_.end() || !dispatch_.isQueued(visit.tag)) return;
-    // It has not been sent: with its client gone it need not be.
+    // The request has not been sent and is not needed any more.
     dispatch_.cancelRequest(loop_.now(), visit.tag);
     eraseExchange(found);
     visit.tag = 0;
@@ -396,7 +404,8 @@
     appendFields(out, e.request.head, {"X-Time-Remaining", "X-Target-Endpoint"});
     int64_t left = std::max<int64_t>(1, (e.deadline - loop_.now()).inMicros() / 1000);
     out.append("X-Time-Remaining: ").append(std::to_string(left)).append("\r\n");
-    // Addresses come back under other services: whoever else has it now answers 421 and runs nothing.
+    // Addresses are reused by other services: an instance that is not the target answers 421 and executes
+    // nothing.
     out.append("X-Target-Endpoint: ").append(instance).append("\r\n");
     if (!e.request.body.empty() || (e.request.method() != "GET" && e.request.method() != "HEAD"))
         out.append("Content-Length: ").append(std::to_string(e.request.body.size())).append("\r\n");
@@ -448,8 +457,9 @@
         loop_.at(first, [this, connection] { connection->timer = 0, onConnectionTimer(*connection); });
 }
 
-// The one used last, as it is the least likely to be about to close. What may run only once does not trust
-// one that lay long: a close that crosses it would leave open whether it ran.
+// Prefers the connection used last, as it is the least likely to be closed soon. Non-idempotent requests
+// avoid connections that were idle for long: if a close crosses the request, it is unknown whether it was
+// executed.
 Proxy::InstanceConnection* Proxy::takeIdleConnection(std::vector<InstanceConnection*>& idle,
                                                      const Exchange& e) {
     while (!idle.empty()) {
@@ -483,7 +493,8 @@
                                 [this, &connection] { connection.timer = 0, onConnectionTimer(connection); });
 }
 
-// Indices of instances come again: what a probe of an earlier one showed says nothing of the next.
+// Instance indices are reused: the result of a probe of a previous instance says nothing about the current
+// one.
 bool Proxy::isCurrent(const InstanceConnection& connection) const {
     const InstanceInfo* view = dispatch_.findInstance(connection.instanceIndex);
     return view && view->id == connection.instanceId;
@@ -514,7 +525,7 @@
 }
 
 void Proxy::onResponseData(InstanceConnection& connection) {
-    if (connection.requestId == 0) {  // bytes that belong to no request: the connection is of no more use
+    if (connection.requestId == 0) {  // unexpected bytes: the connection cannot be reused
         ++excessResponses_;
         return closeConnection(connection);
     }
@@ -555,7 +566,8 @@
         std::string head = "HTTP/1.1 " + std::to_string(a.status) + " ";
         head.append(a.head.third.empty() ? http::reason(a.status) : std::string(a.head.third)).append("\r\n");
         appendFields(head, a.head, {});
-        // Where no body may come the length tells of another answer's, and is the endpoint's word.
+        // Where no body is allowed, Content-Length describes another response's body and is the instance's
+        // own.
         if (a.bodiless) {
             if (auto length = a.head.field("Content-Length"))
                 head.append("Content-Length: ").append(*length).append("\r\n");
@@ -581,9 +593,9 @@
     if (InstanceConnection* connection = found->second.connection)
         connection->requestId = 0, closeConnection(*connection);
     auto visit = visits_.find(found->second.visit);
-    // A client that is refused comes back on another connection and may leave this one idle: in a rush these
-    // took all descriptors, and whoever came then was reset, told nothing and back at once. Harm: in a rush a
-    // client that would have kept it opens a new one.
+    // A rejected client returns on another connection and may leave this one idle. Under load such
+    // connections used up all descriptors; further clients were then reset without a Retry-After and returned
+    // immediately. Drawback: under load a client that would have kept its connection opens a new one.
     bool last = isDraining_ || visits_.size() > maxVisits_ / 2;
     if (visit != visits_.end()) visit->second->tag = 0, visit->second->answer(status, fields, "", last);
     eraseExchange(found);
@@ -607,7 +619,7 @@
     });
 }
 
-// Keeps an idle connection for when a slot of its instance comes back. False: it is to be closed.
+// Keeps an idle connection for when a slot of its instance returns. Returns false if it has to be closed.
 bool Proxy::park(InstanceConnection& connection, size_t mayKeep) {
     if (!connection.isIdle || connection.requestId != 0 || connection.reader.mustClose()) return false;
     const auto same = parked_.find(connection.instanceId);
@@ -668,8 +680,9 @@
     runPeriodicChecks();
 }
 
-// New connections come for two seconds and more after the readiness check fails: they are served to the last,
-// each with its connection's end. Then the rest of the grace is for what is still at an endpoint.
+// New connections arrive for two seconds and more after the readiness check starts to fail. They are served
+// until the end, each with Connection: close. The rest of the grace period is for requests still in flight at
+// instances.
 void Proxy::stopIfDrained() {
     Instant now = loop_.now();
     Span lasts = now - drainingSince_;
@@ -679,7 +692,7 @@
         for (HttpVisit* visit : all) visit->closeWhenIdle(Span::millis(300));
     }
     if (lasts > settings_.bounds.grace - kRejectQueuedBeforeKill) {
-        if (listener_) listener_->close();  // who comes now is told by the reset, having sent nothing
+        if (listener_) listener_->close();  // clients are reset from now on, before they have sent anything
         dispatch_.rejectQueued(now);
         scheduleOutputs();
     }
--- a/system/proxy/proxy.hpp
+++ b/system/proxy/proxy.hpp
@@ -1,4 +1,4 @@
-// The thin host round Dispatch: clients' connections, connections to instances, the link to the agent.
+// The I/O around Dispatch: client connections, connections to instances, and the link to the agent.
 #pragma once
 
 #include <memory>
@@ -18,7 +18,7 @@
 
 namespace petrelpond::proxy {
 
-// The platform's readiness check has a listener of its own.
+// Serves the platform's readiness check on a listener of its own.
 class ReadinessServer final : public network::HttpHost {
   public:
     ReadinessServer(network::Loop& loop, std::function<bool()> ready)
@@ -44,7 +44,7 @@
           std::string loopback = "127.0.0.1");
     ~Proxy() override;
     bool start(std::string& error);
-    void startDraining();  // SIGTERM: ends what is under way, then stops the loop
+    void startDraining();  // on SIGTERM: finishes requests in flight, then stops the loop
     void logCounters() const;
 
     void asked(network::HttpVisit&, network::HttpRequest&&) override;
@@ -58,14 +58,14 @@
   private:
     struct InstanceConnection;
     struct Exchange {
-        uint64_t visit = 0;  // 0: its client has gone
+        uint64_t visit = 0;  // 0: the client has disconnected
         network::HttpRequest request;
         std::string attemptId;
         Instant deadline;
         bool isIdempotent = false;
         InstanceConnection* connection = nullptr;
         std::unique_ptr<network::HttpAnswer> response;
-        size_t countedBytes = 0;  // as counted in bytes_
+        size_t countedBytes = 0;  // its part of bufferedBytes_
     };
     struct ConnectionPool {  // of one instance
         network::Address address;
@@ -82,7 +82,7 @@
     InstanceConnection* takeIdleConnection(std::vector<InstanceConnection*>& idle, const Exchange&);
     void closeExpiredIdle(std::vector<InstanceConnection*>& idle);
     void forwardResponse(RequestId);
-    void failConnection(InstanceConnection&, AttemptOutcome outcome);  // with its request, if any
+    void failConnection(InstanceConnection&, AttemptOutcome outcome);  // and ends its request, if any
     void closeConnection(InstanceConnection&);
     bool isCurrent(const InstanceConnection&) const;
     void onResponseData(InstanceConnection&);
@@ -103,14 +103,14 @@
     policy::Chance random_;
     network::HttpLimits limits_;
     std::unique_ptr<configuration::RouteTable> routes_;
-    configuration::HeldText configurationText_;  // of the configuration in routes_
+    configuration::HeldText configurationText_;  // the configuration in routes_
     std::unique_ptr<network::Listener> listener_;
     ReadinessServer readiness_;
     std::unordered_map<uint64_t, std::unique_ptr<network::HttpVisit>> visits_;
     std::unordered_map<RequestId, Exchange> exchanges_;
     std::unordered_map<uint64_t, std::unique_ptr<InstanceConnection>> connections_;
     std::vector<ConnectionPool> pools_;
-    // Idle connections to instances of which no slot is ours at present, by the instance's id.
+    // Idle connections to instances of which this proxy has no slot at present, by instance id.
     std::unordered_map<std::string, std::vector<InstanceConnection*>> parked_;
     size_t parkedCount_ = 0, maxParked_ = 0;
     std::unique_ptr<network::Link> agentLink_;
@@ -122,7 +122,7 @@
     uint64_t noRoute_ = 0, notReady_ = 0, excessResponses_ = 0, invalidResponses_ = 0, connects_ = 0,
              rejectedConnections_ = 0, fullConfigRequests_ = 0, connectsSaved_ = 0, rejectedForMemory_ = 0;
     size_t maxVisits_ = 1000;
-    size_t bufferedBytes_ = 0, maxBufferedBytes_ = 0;  // of requests and answers under way
+    size_t bufferedBytes_ = 0, maxBufferedBytes_ = 0;  // of requests and responses in flight
 };
 
 }  // namespace petrelpond::proxy
--- a/system/proxy/response_reader.cpp
+++ b/system/proxy/response_reader.cpp
@@ -7,8 +7,8 @@
 
 namespace {
 
-// An instance closes a connection that rests for so long as it told; what is sent in the last part of that
-// may cross the close.
+// An instance closes a connection that is idle for the announced time. A request sent shortly before that may
+// cross the close.
 const Span kKeepAliveMargin = Span::millis(300);
 
 std::optional<Span> parseKeepAlive(const http::Head& head) {
@@ -28,7 +28,8 @@
 AttemptOutcome ResponseReader::classify(const HttpAnswer& answer, const ExpectedResponse& expected) const {
     const int status = answer.status;
     const bool refuses = status == 429 || status == 503 || status == 408;
-    // Without its id it may be the answer to another request, and its promise that one's: ours may run.
+    // Without an attempt id the response, and its X-Not-Executed, may belong to another request while ours is
+    // executing.
     if (!answer.head.field("X-Attempt-Id") && defect_ != ReaderDefect::acceptsAnyId)
         return AttemptOutcome::connectionBroken;
     if (status == 421) return AttemptOutcome::misdirected;
@@ -37,10 +38,10 @@
     if (status >= 200 && status < 300) {
         const bool whole = answer.head.field("X-Endpoint-Seal") && !answer.head.field("Content-Encoding");
         return whole ? AttemptOutcome::answered
-                     : AttemptOutcome::connectionBroken;  // else not the endpoint's body
+                     : AttemptOutcome::connectionBroken;  // otherwise the body is not the instance's own
     }
-    // Without the word that it has not run these may have: passed on to who may send it but once they would
-    // promise what nobody knows.
+    // Without X-Not-Executed the request may have executed. Forwarding the status to a client that may send
+    // it only once would wrongly tell it that the request has not been executed.
     if (refuses && !expected.isIdempotent) return AttemptOutcome::connectionBroken;
     if (status >= 500 || refuses) return AttemptOutcome::serverError;
     return AttemptOutcome::answered;
@@ -69,8 +70,8 @@
         }
         const auto id = answer->head.field("X-Attempt-Id");
         if (id && *id != expected.attemptId && defect_ != ReaderDefect::acceptsAnyId) {
-            // An answer in excess, to an earlier request, in the place of this one's: it belongs to nobody.
-            // Ours is still to come; the connection ends behind it.
+            // An excess response to an earlier request, received in place of ours, is discarded. Our response
+            // is still to come; the connection is closed after it.
             ++excessCount_;
             mustClose_ = true;
             if (!in.empty()) continue;
--- a/system/proxy/response_reader.hpp
+++ b/system/proxy/response_reader.hpp
@@ -1,7 +1,9 @@
-// What came back on a connection to an instance: whose answer it is, what it says of the request, and whether
-// the connection may carry another one. Bytes in, a conclusion out; no sockets, no clock.
+// Reads the responses on a connection to an instance: which request a response belongs to, what it means for
+// that request, and whether the connection may carry another one. Takes bytes and returns a result; uses no
+// sockets and no clock.
 //
-// The table that this follows stands in docs/control-safety.md. A connection carries one request at a time.
+// docs/control-safety.md has the table of cases that this implements. A connection carries one request at a
+// time.
 #pragma once
 
 #include <memory>
@@ -14,44 +16,46 @@
 
 namespace petrelpond::proxy {
 
-// The request that is under way on the connection.
+// The request in flight on the connection.
 struct ExpectedResponse {
     std::string_view attemptId;
     bool isIdempotent = false;
-    bool isHeadRequest = false;  // it is a HEAD: no body follows
+    bool isHeadRequest = false;  // no body follows a HEAD response
 };
 
 struct ReadResult {
     AttemptOutcome outcome = AttemptOutcome::connectionBroken;
-    std::unique_ptr<network::HttpAnswer> response;  // ours, whole; null where nothing of ours came
-    bool isReusable = false;                        // the connection may carry another request
-    bool isInvalid = false;                         // counted: what came can't be passed on
-    std::optional<Span> keepAlive;                  // as the instance told, less a margin
+    std::unique_ptr<network::HttpAnswer>
+        response;                   // the complete response to this request; null if there is none
+    bool isReusable = false;        // the connection may carry another request
+    bool isInvalid = false;         // the bytes cannot be forwarded; counted
+    std::optional<Span> keepAlive;  // idle time announced by the instance, less a margin
 };
 
-// Defects for the tests alone: the model has to find each of them.
+// Deliberate defects for tests only: the model test has to detect each of them.
 enum class ReaderDefect {
     none,
-    acceptsAnyId,                 // takes any answer for the one that is due
-    reusesAfterExcess,            // uses a connection on which more came than one answer
-    acceptsTruncated,             // takes a close for the end of a body
-    acceptsUnconfirmedRejection,  // 503 without the instance's word that it has not run passes for a promise
+    acceptsAnyId,                 // takes any response as the expected one
+    reusesAfterExcess,            // reuses a connection that delivered more than one response
+    acceptsTruncated,             // takes a close as the end of a body
+    acceptsUnconfirmedRejection,  // takes a 503 without X-Not-Executed as not executed
 };
 
-// Of one connection.
+// Reads the responses of one connection.
 class ResponseReader {
   public:
     explicit ResponseReader(size_t maxBodyBytes, ReaderDefect defect = ReaderDefect::none)
         : maxBodyBytes_(maxBodyBytes), defect_(defect) {}
 
-    // Takes answers off the front of `in`. Nothing: more has to come. `isClosed`: no more will.
+    // Removes complete responses from the front of `in`. Returns nothing while more bytes are needed.
+    // `isClosed`: no more will come.
     std::optional<ReadResult> read(std::string& in, bool isClosed, const ExpectedResponse& expected);
-    // Bytes came while no request was under way, or an answer in excess was met: it must carry no other
-    // request.
+    // Whether unexpected bytes or an excess response were received, so that the connection must not carry
+    // another request.
     bool mustClose() const { return mustClose_; }
     uint64_t excessCount() const {
         return excessCount_;
-    }  // answers, or ends of bytes, that belonged to nobody
+    }  // responses or trailing bytes that belong to no request
 
   private:
     AttemptOutcome classify(const network::HttpAnswer&, const ExpectedResponse&) const;
--- a/system/proxy/retry_budget.hpp
+++ b/system/proxy/retry_budget.hpp
@@ -1,4 +1,4 @@
-// This sender's part of the share of further sends that all senders may make together at one service.
+// This proxy's share of the retries that all proxies together may send to one service.
 #pragma once
 
 #include <array>
@@ -8,8 +8,9 @@
 
 namespace petrelpond::proxy {
 
-// Counts by tenths of the window. What is allowed is kept well under the rule, as windows slide, requests are
-// counted where they were sent and not where they arrived, and a restarted sender has forgotten what it used.
+// Counts requests and retries in tenths of a sliding window. It allows half of the permitted ratio: windows
+// slide, requests are counted where they were sent and not where they arrived, and a restarted proxy does not
+// know what it has used.
 class RetryBudget {
   public:
     void recordRequest(Instant now, Span window) { binAt(now, window).requests += 1; }
--- a/system/proxy/slots_search_test.cpp
+++ b/system/proxy/slots_search_test.cpp
@@ -1,5 +1,5 @@
-// Searches seeded schedules of planners and senders together for a slot with two owners, see
-// slots_sim_for_test.hpp.
+// Runs planners and proxies together in seeded random schedules and searches for a slot that two proxies use
+// at once, see slots_sim_for_test.hpp.
 #include <gtest/gtest.h>
 
 #include <cstdio>
@@ -16,7 +16,7 @@
 }
 
 TEST(SlotsSearch, NoScheduleViolatesAnInvariant) {
-    // SLOTS_SCHEDULES=10000 for a long search, SLOTS_FIRST to begin elsewhere.
+    // For a long search set SLOTS_SCHEDULES=10000; SLOTS_FIRST sets the first seed.
     const int count = numberFromEnvironmentOr("SLOTS_SCHEDULES", 300),
               first = numberFromEnvironmentOr("SLOTS_FIRST", 1);
     long ran = 0, holders = 0, strays = 0, full = 0;
@@ -28,7 +28,7 @@
     }
     std::printf("%d schedules: %ld calls ran, %ld turned away, %ld holders, %ld times a sender unknown\n",
                 count, ran, full, holders, strays);
-    // The search is worth nothing if nothing happens in it.
+    // The search is only meaningful if the schedules exercise enough events.
     EXPECT_GT(ran, count * 100);
     EXPECT_GT(holders, count * 3);
     EXPECT_GT(strays, count);
@@ -54,7 +54,7 @@
     EXPECT_GT(firstSeedThatFails(slots::Defect::treatsSilentAsEnded, 50), 0);
 }
 
-// SLOTS_SEED=69 SLOTS_FOLLOW=i2: what happened to that instance.
+// Traces one instance in one schedule, e.g. SLOTS_SEED=69 SLOTS_FOLLOW=i2.
 TEST(SlotsSearch, OneSchedule) {
     const int seed = numberFromEnvironmentOr("SLOTS_SEED", 0);
     if (seed == 0) GTEST_SKIP() << "for a closer look: SLOTS_SEED, SLOTS_FOLLOW";
--- a/system/proxy/slots_sim_for_test.hpp
+++ b/system/proxy/slots_sim_for_test.hpp
@@ -1,14 +1,14 @@
-// The whole of slots in simulated time: planners at cores between which the duty moves, senders with their
-// real dispatch, instances that turn away what is over their slots. Seeded, with all that may go wrong, and a
-// judge.
+// Simulates slot assignment in simulated time: planners in control-plane members ("cores") between which the
+// planner role moves, senders (an agent and its proxy's real Dispatch), and instances that reject calls
+// beyond their slots. Schedules are seeded, inject faults, and are checked against an invariant.
 //
-// The invariant: no instance is sent more than its slots by senders of which the holder knows. Not counted is
-// what a sender of which it can't know still uses (`stray`): one that the holder has heard nothing of for
-// longer than the planner's word says (0.6 s where it was told something), one that is not there when another
-// takes the duty over, one whose agent ended while its proxy lives. An instance that a stray uses is looked
-// at again once the stray has told all it holds and what is too much there was given back. No once-only
-// request runs twice; who is told that a request has not run is told the truth; no instance is stopped at
-// work.
+// Invariant: the senders that the planner knows never send an instance more calls than it has slots. Slots
+// used by an untracked sender do not count, as the planner cannot know of them. A sender is untracked when
+// the planner has not heard from it for longer than its silence limit (0.6 s for a sender that was told
+// something), when it is not connected as another planner takes over, or when its agent ended while its proxy
+// lives. An instance used by an untracked sender is checked again once that sender has sent a full report and
+// the excess was returned. In addition, no non-idempotent request executes twice, no request is reported as
+// not executed after it was executed, and no instance is stopped while it executes a call.
 #pragma once
 
 #include <array>
@@ -27,20 +27,20 @@
 
 namespace petrelpond::proxy::slots {
 
-// Broken on purpose; each has to be found.
+// Deliberate defects; the search has to detect each of them.
 enum class Defect : uint8_t {
     none,
-    returnsSlotsEarly,    // a slot counts as given back while its call still runs
-    grantsBeforeReports,  // a new holder does not wait for what the senders hold
-    acceptsStaleTerms,    // grants of a lower term are taken
-    treatsSilentAsEnded,  // a sender that is merely silent counts as ended
+    returnsSlotsEarly,    // reports a slot as returned while its call still runs
+    grantsBeforeReports,  // a new planner does not wait for the senders' full reports
+    acceptsStaleTerms,    // grants of a lower term are applied
+    treatsSilentAsEnded,  // a sender that is only silent is treated as ended
 };
 
 struct SimulationConfig {
     uint32_t seed = 1;
     Defect defect = Defect::none;
-    double seconds = 30;                   // of faults; then all heals
-    const char* tracedInstance = nullptr;  // an instance of which all is printed
+    double seconds = 30;                   // duration of fault injection; then all faults are repaired
+    const char* tracedInstance = nullptr;  // prints all events of this instance
 };
 
 class SlotSimulation : public simulation::Simulation {
@@ -76,7 +76,7 @@
     long executedCount() const { return executedCount_; }
     long rejectedCount() const {
         return rejectedCount_;
-    }  // turned away, all of them at instances that a stray used
+    }  // calls rejected as full, all at instances used by an untracked sender
     long electionCount() const { return electionCount_; }
     long untrackedCount() const { return untrackedCount_; }
 
@@ -90,7 +90,7 @@
         std::printf(form, parts...);
         std::printf("\n");
     }
-    // ---- the platform: instances
+    // ---- Platform: instances
     struct Service {
         const char* name;
         int slots, boot, target;
@@ -100,7 +100,7 @@
         const Service* service = nullptr;
         int64_t readyAt = 0, terminatedAt = -1;
         bool draining = false;
-        std::set<uint64_t> runningCalls;  // calls
+        std::set<uint64_t> runningCalls;  // ids of calls
     };
     struct Call {
         size_t sender = 0;
@@ -114,7 +114,7 @@
             std::string id;
             int status = 200;
             if (term < fencingTerm_)
-                status = 403;  // the platform's fence
+                status = 403;  // the platform's fencing of stale terms
             else if (chance(faultRate_ * 0.1))
                 status = 409;
             auto before = instanceByNonce_.find(s.nonce);
@@ -128,7 +128,7 @@
                 if (!m.service) return fail("a start of a service that nobody has");
                 m.readyAt = now_ + millis(m.service->boot * (70 + below(60)) / 100);
             }
-            if (chance(faultRate_ * 0.1)) status = 0;  // no answer, though it may have happened
+            if (chance(faultRate_ * 0.1)) status = 0;  // no response, though the start may have happened
             at(millis(5 + below(60)), [this, c, generation, s, id, status] {
                 callPlanner(c, generation, [s, id, status](scaler::Planner& p, Instant now) {
                     if (status == 200)
@@ -179,26 +179,26 @@
         at(millis(600), [this, c, generation] { pollInstanceList(c, generation); });
     }
 
-    // ---- cores and the duty
+    // ---- Cores and the planner role
     struct Core {
         std::unique_ptr<scaler::Planner> planner;
         int generation = 0, incarnation = 0;
         bool isUp = true;
-        uint64_t term = 0;  // of its planner
+        uint64_t term = 0;  // its planner's
         uint64_t knownTerm = 0;
         int knownPlanner = -1;
         int64_t frozenUntil = 0, wakeScheduledFor = -1;
-        std::map<size_t, int> linkedSenders;  // sender: epoch of its link
+        std::map<size_t, int> linkedSenders;  // link epoch by sender
         std::map<size_t, int> agentIncarnations;
         std::map<size_t, int64_t> lastHeardAt;
-        bool hasGranted = false, isBeingReplaced = false;  // losing: somebody else will be voted for
-        std::set<size_t> syncedSenders;                    // senders that told its planner all that they hold
+        bool hasGranted = false, isBeingReplaced = false;  // isBeingReplaced: another core will be elected
+        std::set<size_t> syncedSenders;                    // senders that sent this planner a full report
     };
-    // How the planner of the present holder stands to a sender.
+    // What the current planner knows of a sender.
     struct SenderStatus {
         bool isLinked = false, isSynced = false;
-        int64_t expiresAt = -1;  // when it counts as gone
-        bool hasEnded = false;   // its slots are only kept for a moment, whether it is linked again or not
+        int64_t expiresAt = -1;  // when the sender's slots are released
+        bool hasEnded = false;   // its slots are released shortly, whether or not it connects again
     };
     void runInCore(size_t c, int life, std::function<void(Core&)> f) {
         Core& core = cores_[c];
@@ -228,7 +228,8 @@
                 bool gives = false;
                 for (const auto& g : t->grants.grants) gives |= g.slots > 0;
                 if (gives && !core.hasGranted) {
-                    core.hasGranted = true;  // it has listened: whom it has not heard by now it does not know
+                    core.hasGranted = true;  // its waiting period is over: senders that have not reported by
+                                             // now are unknown to it
                     for (size_t k = 0; k < senders_.size(); ++k)
                         if (!core.syncedSenders.count(k)) markUntracked(k);
                 }
@@ -302,7 +303,7 @@
                    [this, k, life = cores_[k].incarnation, learn] { runInCore(k, life, learn); });
         }
     }
-    void sendHeartbeats(size_t c) {  // and the core's own turn: silent agents
+    void sendHeartbeats(size_t c) {  // also disconnects senders whose agent is silent
         runInCore(c, cores_[c].incarnation, [this, c](Core& core) {
             for (auto& [s, epoch] : core.linkedSenders)
                 sendDown(c, s, epoch, {core.knownTerm, core.knownPlanner, {}, false});
@@ -313,7 +314,7 @@
         });
         at(millis(250), [this, c] { sendHeartbeats(c); });
     }
-    void stopPlanner(size_t c) {  // it learns that it holds no more
+    void stopPlanner(size_t c) {  // the core learns that it is not the planner any more
         Core& core = cores_[c];
         core.planner.reset();
         ++core.generation;
@@ -359,8 +360,9 @@
         drainPlanner(c);
     }
 
-    // ---- links. Each is ordered; a cut delays what is under way, and ends it once a side gives the link up.
-    struct DownMessage {  // of a core
+    // ---- Links. Each is ordered. A cut delays messages in transit and drops them once one side closes the
+    // link.
+    struct DownMessage {  // from a core
         uint64_t term = 0;
         int holder = -1;
         scaler::Grants grants;
@@ -369,7 +371,7 @@
     struct SimulatedLink {
         int epoch = 0;
         bool isUp = false, isConnecting = false;
-        int64_t upCutUntil = 0, downCutUntil = 0;  // until when
+        int64_t upCutUntil = 0, downCutUntil = 0;  // end of the cut
         int64_t lastUpArrival = 0, lastDownArrival = 0, lastHeardAt = 0, reconnectDelay = 100000;
     };
     int64_t nextArrivalDelay(int64_t& last, int64_t cut) {
@@ -443,7 +445,7 @@
             });
         });
     }
-    // The agent gives the link up, or its end is seen. Its last packet, if any, tells the core.
+    // The agent closes the link, or its end is noticed. Its last packet, if any, tells the core.
     void closeLink(size_t s, size_t c, bool tell) {
         SimulatedLink& w = senders_[s].links[c];
         if (!w.isUp) return;
@@ -461,7 +463,7 @@
         }
     }
 
-    // ---- senders: agent and proxy
+    // ---- Senders: agent and proxy
     struct Sender {
         std::unique_ptr<Dispatch> dispatch;
         int incarnation = 0, agentIncarnation = 0;
@@ -474,10 +476,10 @@
         uint64_t grantTerm = 0;
         std::array<SimulatedLink, kCores> links;
         std::map<std::string, uint32_t> granted, lastTold,
-            inFlight;  // as granted, as told last by the holder; calls out
+            inFlight;  // slots as granted and as last sent by the planner; calls in flight
         bool isUntracked = false;
-        std::set<std::string> reassignable;  // instances where it was late to give back
-        int64_t unansweredSince = -1;  // since when the holder has told it something and had no word of its
+        std::set<std::string> reassignable;  // instances whose slots it was too late to return
+        int64_t unansweredSince = -1;        // since when the planner has sent it something without an answer
         double rate = 5;
     };
     struct RequestRecord {
@@ -521,15 +523,15 @@
         trace("", "sender %zu killed%s", s, power ? ", power" : "");
         ++x.incarnation;
         for (size_t c = 0; c < kCores; ++c) closeLink(s, c, !power), x.links[c].isConnecting = false;
-        for (auto& [id, call] : calls_) {  // instances drop the work of connections that end
+        for (auto& [id, call] : calls_) {  // instances drop the calls of closed connections
             if (call.sender != s || call.isFinished) continue;
             call.isFinished = true;
             at(power ? millis(below(1500)) : millis(below(200)),
                [this, id = id] { removeCallFromInstance(id); });
         }
-        // What it had out is still there for a moment; the holder knows of it only if it was told. Without
-        // power no connection was reset, so instances work on it longer than an ended sender's slots are
-        // kept.
+        // Its calls in flight run on for a moment, and the planner knows of them only if it was told. After a
+        // power loss no connection is reset, so instances execute them for longer than the slots of an ended
+        // sender are reserved.
         if (x.isUntracked || power || !senderStatuses_[s].isSynced || x.unansweredSince >= 0 ||
             !x.reassignable.empty())
             for (auto& [id, n] : x.inFlight)
@@ -538,7 +540,7 @@
             x.isUntracked = false, x.unansweredSince = -1;
         at(millis(300 + below(3000)), [this, s] { startSender(s); });
     }
-    void killAgent(size_t s) {  // alone: the proxy goes on with what it holds
+    void killAgent(size_t s) {  // the agent alone: its proxy continues with the slots it holds
         Sender& x = senders_[s];
         if (!x.dispatch || !x.isAgentUp || now_ < x.frozenUntil) return;
         x.isAgentUp = false, x.agentIncarnation = ++lastAgentIncarnation_;
@@ -670,7 +672,7 @@
         at(std::max<int64_t>(1, gaveUp.inMicros() - now_), [this, id] {
             auto found = calls_.find(id);
             if (found == calls_.end() || found->second.isFinished) return;
-            if (now_ < senders_[found->second.sender].frozenUntil) return;  // not while it sleeps
+            if (now_ < senders_[found->second.sender].frozenUntil) return;  // not while it is suspended
             removeCallFromInstance(id);
             endCall(id, AttemptOutcome::timedOut, 0);
         });
@@ -700,7 +702,7 @@
         const int64_t work = millis(5 + below(chance(0.1) ? 1200 : 150));
         at(work, [this, id, work] {
             removeCallFromInstance(id);
-            const bool lost = chance(faultRate_ * 0.05);  // the answer; the connection stays silent
+            const bool lost = chance(faultRate_ * 0.05);  // the response is lost; the connection stays open
             if (lost) return;
             const bool bad = chance(faultRate_ * 0.1);
             endCall(id,
@@ -758,8 +760,9 @@
            [this, s] { generateRequests(s); });
     }
 
-    // ---- who is known, and what that excuses
-    // One that says nothing though it was told something may have idle slots that were asked back passed on.
+    // ---- Which senders are tracked, and which excess this allows
+    //
+    // If a sender that was told something does not answer, its revoked idle slots may be given to others.
     static constexpr int64_t kUnansweredLimitUs = 590000;
     bool isUnansweredTooLong(const Sender& x) const {
         return x.unansweredSince >= 0 && now_ - x.unansweredSince >= kUnansweredLimitUs;
@@ -771,7 +774,7 @@
                 if (usesMoreThanTold(x, id)) x.reassignable.insert(id);
         x.unansweredSince = -1;
     }
-    // It may still use what the holder has asked back.
+    // Whether it may still use slots that the planner has revoked.
     static bool usesMoreThanTold(const Sender& x, const std::string& id) {
         auto told = x.lastTold.find(id);
         return told != x.lastTold.end() && slotsInUse(x, id) > told->second;
@@ -804,7 +807,7 @@
             if (auto found = each->find(id); found != each->end()) most = std::max(most, found->second);
         return most;
     }
-    // What was given twice is over once all that may be used fits again.
+    // An oversubscription ends once all slots that may be used fit into the instance again.
     void clearOversubscriptionIfResolved(const std::string& id) {
         if (oversubscribed_.empty() || !oversubscribed_.count(id)) return;
         uint32_t sum = 0;
@@ -829,7 +832,7 @@
         return false;
     }
 
-    // ---- troubles
+    // ---- Faults
     size_t anyCore() { return static_cast<size_t>(below(kCores)); }
     size_t anySender() { return static_cast<size_t>(below(static_cast<int64_t>(senders_.size()))); }
     void scheduleElection(int64_t from, int64_t to) {
@@ -879,7 +882,7 @@
         if (!x.dispatch || now_ < x.frozenUntil) return;
         x.frozenUntil = now_ + lasts;
         trace("", "sender %zu sleeps %ld", s, lasts);
-        // What it gives up on waking: calls whose time passed while it slept.
+        // Attempts whose deadline passed while the sender was suspended end when it resumes.
         at(lasts + 1, [this, s, life = x.incarnation] {
             if (senders_[s].incarnation != life) return;
             std::vector<uint64_t> late;
@@ -895,7 +898,7 @@
         Core& core = cores_[c];
         if (!isActivePlanner(c) || !core.planner || core.isBeingReplaced || now_ < core.frozenUntil) return;
         switch (below(5)) {
-            case 0: {  // it ends
+            case 0: {  // the core ends
                 ++core.incarnation;
                 stopPlanner(c);
                 core.isUp = false;
@@ -906,7 +909,8 @@
                 break;
             }
             case 1:
-            case 2: {  // it sleeps, and acts by what it knew before it sees that it holds no more
+            case 2: {  // the core is suspended, and acts on outdated knowledge before it learns that it is
+                       // not the planner
                 const int64_t lasts = millis(chance(0.6) ? 700 + below(1500) : below(6000));
                 core.frozenUntil = now_ + lasts;
                 if (lasts < millis(700)) break;
@@ -921,7 +925,7 @@
                 });
                 break;
             }
-            case 3:  // it is not heard by a majority
+            case 3:  // the core loses its majority
                 stopPlanner(c);
                 scheduleElection(20, 600);
                 break;
@@ -961,8 +965,8 @@
     std::map<RequestId, RequestRecord> requestRecords_;
     uint64_t lastCallId_ = 0;
     RequestId lastRequestId_ = 0;
-    std::set<std::string>
-        oversubscribed_;  // instances where more may be used than there is, since a stray came back
+    std::set<std::string> oversubscribed_;  // instances of which more slots may be in use than exist, since
+                                            // an untracked sender returned
     long executedCount_ = 0, rejectedCount_ = 0, electionCount_ = 0, untrackedCount_ = 0,
          receivedWhileCalm_ = 0, answeredWhileCalm_ = 0;
 };
