--- a/system/proxy/dispatch_test.cpp
+++ b/system/proxy/dispatch_test.cpp
@@ -18,7 +18,7 @@
                                         AttemptOutcome::connectFailed,    AttemptOutcome::notSent,
                                         AttemptOutcome::connectionBroken, AttemptOutcome::timedOut};
 
-// What an ending truly means for the request, told here once more: the core is not asked to judge itself.
+// What an outcome means for the request, restated here so that mayHaveExecuted() is not used to check itself.
 bool expectedMayHaveExecuted(AttemptOutcome e) {
     return e == AttemptOutcome::answered || e == AttemptOutcome::serverError ||
            e == AttemptOutcome::connectionBroken || e == AttemptOutcome::timedOut;
@@ -31,7 +31,7 @@
     return {instance, "s", "10.0.0.1:80", "here", slots, upInMs};
 }
 
-// A core with a clock that goes only where it is told to, and everything that came out of it.
+// A Dispatch with a manual clock, and all its outputs.
 struct DispatchHarness {
     Instant now = kStart;
     Dispatch dispatch;
@@ -65,7 +65,7 @@
         dispatch.onAttemptEnded(now, id, how);
         collectOutputs();
     }
-    // The host's round: ticks at each wake-up until `until`, or until the condition holds.
+    // Does what the proxy does: ticks at each wake-up until `until`, or until the condition holds.
     template <class Done>
     bool runUntil(Instant until, Done done) {
         while (!done()) {
@@ -108,7 +108,7 @@
             if (auto* t = std::get_if<SendReport>(&o)) out.push_back(t->report);
         return out;
     }
-    // What the holder was last told of an instance.
+    // The planner's latest report entry for an instance.
     std::optional<scaler::Held> lastHeld(const std::string& id) const {
         std::optional<scaler::Held> last;
         for (auto& r : reports()) {
@@ -151,10 +151,11 @@
     EXPECT_TRUE(p.findOutput<ForwardResponse>(ids[0]));
     EXPECT_TRUE(p.runUntil(p.now + Span::seconds(1), [&] { return p.wasSent(ids[3]); }));
     p.advance(300);
-    EXPECT_FALSE(p.wasSent(ids[4]));  // one slot came free, so one went
+    EXPECT_FALSE(p.wasSent(ids[4]));  // one slot was freed, so one request was sent
 }
 
-// Less time than a boot takes, but others have slots: it waits for one of those and gets it.
+// Less time is left than a boot takes, but other proxies have slots: the request waits for one of those and
+// gets it.
 TEST(Dispatch, QueuesWhenOnlyOtherProxiesHaveSlots) {
     DispatchHarness p;
     scaler::Grant g = grant("a", 0);
@@ -166,7 +167,7 @@
     p.advance(50);
     p.applyGrants({grant("b", 1)});
     EXPECT_TRUE(p.runUntil(p.now + Span::millis(200), [&] { return p.wasSent(id); }));
-    // Nobody has any: it can't be had in time and is told so at once.
+    // Nobody has a slot, so it cannot meet its deadline and is rejected immediately.
     DispatchHarness none;
     none.applyGrants({});
     EXPECT_TRUE(none.findOutput<RejectRequest>(none.submit(600)));
@@ -190,7 +191,7 @@
     p.endAttempt(two, AttemptOutcome::answered);
     p.advance(150);
     EXPECT_EQ(p.lastHeld("a")->slots, 0u);
-    EXPECT_FALSE(p.wasSent(waits));  // what was given back is not used again
+    EXPECT_FALSE(p.wasSent(waits));  // a returned slot is not used again
     EXPECT_EQ(p.countOutputs<ReleaseInstance>(), 1);
 }
 
@@ -202,7 +203,7 @@
     p.advance(150);
     EXPECT_EQ(p.lastHeld("a")->slots, 2u);
     EXPECT_EQ(p.lastHeld("a")->busy, 1u);
-    p.applyGrants({grant("unknown", 0)});  // nothing is held of what is not known
+    p.applyGrants({grant("unknown", 0)});  // nothing is held of an unknown instance
     p.advance(150);
     ASSERT_TRUE(p.lastHeld("unknown"));
     EXPECT_EQ(p.lastHeld("unknown")->slots, 0u);
@@ -220,20 +221,20 @@
     EXPECT_TRUE(p.wasSent(one));
     EXPECT_EQ(p.instanceOf(one), "a");
     EXPECT_FALSE(p.wasSent(two));
-    p.dispatch.updatePlannerStatus(p.now, 2, false, 9);  // an old holder's standing as well
+    p.dispatch.updatePlannerStatus(p.now, 2, false, 9);  // nor does the status of a former planner count
     p.advance(300);
     EXPECT_GT(p.reports().size(), 1u);
     EXPECT_EQ(p.reports().back().term, 3u);
 }
 
-// The grants of a new holder may come before the word of its term.
+// The grants of a new planner may arrive before the update of its term.
 TEST(Dispatch, GrantsOfALowerTermAreIgnoredAfterThoseOfAHigher) {
     DispatchHarness p;
     p.applyGrants({grant("a", 1)}, true, 2);
     p.applyGrants({grant("b", 1)}, false, 1);
     auto one = p.submit(), two = p.submit();
     EXPECT_TRUE(p.wasSent(one));
-    EXPECT_FALSE(p.wasSent(two)) << "a slot of a holder that was overtaken";
+    EXPECT_FALSE(p.wasSent(two)) << "uses a slot granted by a replaced planner";
     p.dispatch.updatePlannerStatus(p.now, 2, true, 1);
     p.collectOutputs();
     ASSERT_FALSE(p.reports().empty());
@@ -261,7 +262,7 @@
     EXPECT_EQ(p.reports().size(), reports.size() + 1);
 }
 
-// The holder asks back only what it knows to have arrived.
+// The planner only revokes slots whose grant it knows to have arrived.
 TEST(Dispatch, AcknowledgesEveryGrantIncludingIncreases) {
     DispatchHarness p;
     p.applyGrants({grant("a", 1)});
@@ -272,7 +273,7 @@
     EXPECT_EQ(p.lastHeld("a")->busy, 0u);
 }
 
-// A slot that is in use as soon as it is granted is answered with the end of its call.
+// A slot that is in use as soon as it is granted is acknowledged when its call ends.
 TEST(Dispatch, GrantUsedImmediatelyIsAcknowledgedWhenItsCallEnds) {
     DispatchHarness p;
     auto one = p.submit();
@@ -286,7 +287,7 @@
     ASSERT_EQ(p.reports().size(), before + 1);
     EXPECT_EQ(p.lastHeld("a")->slots, 1u);
     EXPECT_EQ(p.lastHeld("a")->busy, 0u);
-    auto two = p.submit();  // a long call does not put the answer off
+    auto two = p.submit();  // a long call does not delay the acknowledgement
     p.applyGrants({grant("a", 2)});
     p.advance(101);
     EXPECT_EQ(p.lastHeld("a")->slots, 2u);
@@ -294,7 +295,7 @@
     EXPECT_TRUE(p.wasSent(two));
 }
 
-// Instances "a" and "b" had a slot here; both went to others.
+// Instances "a" and "b" had a slot here that went to other proxies.
 DispatchHarness harnessWithFormerInstances(Dispatch::Options options = {1, "here"}) {
     DispatchHarness p(options);
     scaler::Grant there = grant("b", 1);
@@ -312,11 +313,11 @@
 TEST(Borrowing, SendsToAFormerInstanceWhileThePlannerIsSilent) {
     DispatchHarness p = harnessWithFormerInstances();
     auto one = p.submit();
-    EXPECT_FALSE(p.wasSent(one));  // the holder is heard: it grants one, or starts an instance
+    EXPECT_FALSE(p.wasSent(one));  // while the planner is heard, it grants a slot or starts an instance
     setPlannerSilent(p, true);
     p.advance(1);
     ASSERT_TRUE(p.wasSent(one));
-    EXPECT_EQ(p.instanceOf(one), "a");  // of our zone
+    EXPECT_EQ(p.instanceOf(one), "a");  // in the proxy's zone
     p.endAttempt(one, AttemptOutcome::answered);
     EXPECT_TRUE(p.findOutput<ForwardResponse>(one));
     EXPECT_EQ(p.dispatch.counters().borrowed, 1u);
@@ -384,14 +385,15 @@
     EXPECT_EQ(p.dispatch.counters().borrowed, 0u);
 }
 
-// After a loss requests for many services wait at each sender: its wants go together, not one by one.
+// After a failure requests for many services wait at each proxy. Their demands are reported together instead
+// of one by one.
 TEST(Dispatch, BatchesReportsWhenManyServicesAreQueued) {
-    Dispatch core(kStart, {1, "here"});
-    core.updatePlannerStatus(kStart, 1, true, 1);
+    Dispatch dispatch(kStart, {1, "here"});
+    dispatch.updatePlannerStatus(kStart, 1, true, 1);
     Instant now = kStart;
     size_t reports = 0, wanted = 0;
     const auto pull = [&] {
-        while (auto output = core.next())
+        while (auto output = dispatch.next())
             if (auto* tell = std::get_if<SendReport>(&*output)) {
                 ++reports;
                 for (const auto& demand : tell->report.demands) wanted += demand.waiting > 0;
@@ -399,7 +401,7 @@
     };
     pull();
     reports = 0;
-    for (uint64_t id = 1; id <= 100; ++id) {  // one a millisecond, each for a service of its own
+    for (uint64_t id = 1; id <= 100; ++id) {  // one per millisecond, each for a service of its own
         IncomingRequest a{id,
                           "s" + std::to_string(id),
                           true,
@@ -408,18 +410,18 @@
                           now + Span::seconds(4),
                           Span::millis(400),
                           Span::seconds(4)};
-        core.onRequest(now, a);
-        if (core.wakeAt() <= now) core.tick(now);
+        dispatch.onRequest(now, a);
+        if (dispatch.wakeAt() <= now) dispatch.tick(now);
         pull();
         now = now + Span::millis(1);
     }
-    EXPECT_LE(reports, 12u);  // four before it is a crowd, then one each 30 ms
-    core.tick(now = now + Span::millis(30));
+    EXPECT_LE(reports, 12u);  // four before batching starts, then one every 30 ms
+    dispatch.tick(now = now + Span::millis(30));
     pull();
     EXPECT_GE(wanted, 100u);
 }
 
-// Somebody waits for what is taken back.
+// Other proxies wait for slots that are revoked.
 TEST(Dispatch, ReducedGrantIsAcknowledgedImmediatelyByInstanceId) {
     DispatchHarness p;
     p.applyGrants({grant("a", 2)});
@@ -451,7 +453,8 @@
     EXPECT_FALSE(p.wasSent(three));
 }
 
-// A proxy that just started, or has no holder, knows only that it has no slots: the instances may well run.
+// A proxy that has just started or has no planner only knows that it has no slots itself: instances may well
+// be running.
 TEST(Dispatch, DoesNotAssumeABootBeforeTheFirstGrants) {
     DispatchHarness p;
     auto id = p.submit(900);
@@ -462,14 +465,15 @@
 
 TEST(Dispatch, RejectsImmediatelyWhatCannotMeetItsDeadline) {
     DispatchHarness p;
-    p.applyGrants({});        // the holder has spoken: there is nothing for us
-    auto id = p.submit(600);  // a start alone takes a second
+    p.applyGrants({});        // the planner's first grants: this proxy gets no slots
+    auto id = p.submit(600);  // a boot alone takes a second
     auto refused = p.findOutput<RejectRequest>(id);
     ASSERT_TRUE(refused);
     EXPECT_EQ(refused->first, kStart);
     EXPECT_EQ(refused->second.status, 503);
     EXPECT_GT(refused->second.retryAfter, Span());
-    EXPECT_LE(refused->second.retryAfter, Span::millis(198));  // clients honour a third of their time
+    EXPECT_LE(refused->second.retryAfter,
+              Span::millis(198));  // clients wait for at most a third of their time
     EXPECT_EQ(p.dispatch.queuedCount(), 0u);
     EXPECT_EQ(p.dispatch.counters().rejectedImmediately, 1u);
 }
@@ -486,7 +490,7 @@
         ASSERT_TRUE(refused) << ms;
         Span held = refused->first - kStart;
         EXPECT_GE(held, Span::millis(ms) * 0.45 - Span::millis(1));
-        EXPECT_LE(held, Span::millis(ms) * 0.45 + Span::millis(51));  // looked at twenty times a second
+        EXPECT_LE(held, Span::millis(ms) * 0.45 + Span::millis(51));  // checked twenty times per second
         EXPECT_EQ(p.dispatch.counters().rejectedAfterQueueing, 1u);
         EXPECT_LE(refused->second.retryAfter,
                   std::max((Span::millis(ms) - held) * 0.33 + Span::millis(1), Span::millis(50)));
@@ -529,7 +533,7 @@
     DispatchHarness free;
     free.applyGrants({grant("a", 10)});
     for (int i = 0; i < 10; ++i) free.submit();
-    EXPECT_EQ(free.sends().size(), 10u);  // nothing was held: nothing is paced
+    EXPECT_EQ(free.sends().size(), 10u);  // nothing was queued, so nothing is paced
     EXPECT_EQ(free.now, kStart);
 
     DispatchHarness p;
@@ -546,9 +550,9 @@
         if (std::holds_alternative<SendRequest>(o) && at >= from) starts.push_back(at);
     ASSERT_EQ(starts.size(), 10u);
     for (size_t i = 1; i < starts.size(); ++i) EXPECT_GT(starts[i], starts[i - 1]);
-    EXPECT_GT(starts.back() - starts.front(), Span::millis(60));  // 11 slots / 0.1 s of a call at most
+    EXPECT_GT(starts.back() - starts.front(), Span::millis(60));  // at most 11 slots / 0.1 s per call
 
-    // Ten seconds without a hold end it.
+    // Pacing ends after ten seconds without queueing.
     for (auto id : rest) p.endAttempt(id, AttemptOutcome::answered);
     p.endAttempt(1, AttemptOutcome::answered);
     p.advance(10500);
@@ -557,7 +561,8 @@
     EXPECT_EQ(p.sends().size(), before + 8);
 }
 
-// Ten slots at a tenth of a second are a hundred calls a second, whatever was had when the bucket bound.
+// Ten slots at 0.1 s per call allow a hundred calls per second, however many slots there were when pacing
+// started.
 TEST(Dispatch, GrantRaisesThePacingRate) {
     for (uint32_t first : {0u, 1u}) {
         DispatchHarness p({1, "here"}, 100);
@@ -567,7 +572,7 @@
         p.applyGrants({grant("a", 10)});
         Instant from = p.now;
         EXPECT_TRUE(p.runUntil(p.now + Span::seconds(20), [&] { return p.sends().size() == 10; }));
-        EXPECT_LE(p.now - from, Span::millis(500)) << "slots lie idle while requests wait";
+        EXPECT_LE(p.now - from, Span::millis(500)) << "slots are idle while requests are queued";
     }
 }
 
@@ -611,7 +616,7 @@
 TEST(Dispatch, InstanceThatNeverBecomesReadyIsReportedDeadOnce) {
     DispatchHarness p;
     p.applyGrants({grant("a", 1, 100)});
-    for (int i = 0; i < 3; ++i) {  // somebody waits all the while
+    for (int i = 0; i < 3; ++i) {  // so that a request is always queued
         p.submit(4000);
         Instant until = p.now + Span::millis(1700);
         while (p.now < until) {
@@ -636,7 +641,7 @@
     p.advance(250);
     EXPECT_EQ(p.timesReported("a", &scaler::Report::dead), 1);
 
-    DispatchHarness q;  // an answer between the two
+    DispatchHarness q;  // with a response between the two failures
     q.applyGrants({grant("a", 1)});
     for (AttemptOutcome e :
          {AttemptOutcome::connectFailed, AttemptOutcome::answered, AttemptOutcome::connectFailed}) {
@@ -649,7 +654,7 @@
     EXPECT_EQ(q.timesReported("a", &scaler::Report::dead), 0);
 }
 
-// What the holder can act on is not kept until some later round: within 20 ms of what brought it about.
+// Whatever the planner can act on is reported within 20 ms and not with the next periodic report.
 TEST(Dispatch, SendsUrgentReportsImmediately) {
     DispatchHarness p;
     p.applyGrants({grant("a", 1)});
@@ -657,7 +662,7 @@
     auto one = p.submit();
     p.advance(1000);
     auto before = p.reports().size();
-    auto two = p.submit();  // a want
+    auto two = p.submit();  // unmet demand
     ASSERT_TRUE(p.dispatch.isQueued(two));
     p.advance(20);
     ASSERT_GT(p.reports().size(), before);
@@ -665,7 +670,7 @@
     EXPECT_EQ(p.reports().back().demands[0].waiting, 1u);
     p.applyGrants({grant("a", 0)});
     p.advance(1000);
-    p.endAttempt(one, AttemptOutcome::answered);  // a slot that was asked back
+    p.endAttempt(one, AttemptOutcome::answered);  // on a revoked slot
     p.advance(20);
     EXPECT_EQ(p.lastHeld("a")->slots, 0u);
 
@@ -681,7 +686,7 @@
     EXPECT_EQ(q.timesReported("a", &scaler::Report::dead), 1);
 }
 
-// A holder that is new knows nothing of what was told to the one before it.
+// A new planner does not know what its predecessor was told.
 TEST(Dispatch, ReportsDeadInstancesToANewPlanner) {
     DispatchHarness p;
     p.applyGrants({grant("a", 1)});
@@ -694,7 +699,7 @@
     p.dispatch.updatePlannerStatus(p.now, 2, true, 1);
     p.collectOutputs();
     EXPECT_EQ(p.timesReported("a", &scaler::Report::dead), 2);
-    // And again at a further miss: the holder believes one sender at its second word.
+    // Reported again at a further failure: the planner acts on the second report of a single proxy.
     p.endAttempt(id, AttemptOutcome::connectFailed);
     p.advance(1500);
     EXPECT_EQ(p.timesReported("a", &scaler::Report::dead), 3);
@@ -710,14 +715,14 @@
         p.endAttempt(id, AttemptOutcome::answered);
     }
     p.submit(5000, 2, false);
-    EXPECT_EQ(p.sends().back().attemptTimeout, Span());  // what may run only once is waited for
+    EXPECT_EQ(p.sends().back().attemptTimeout, Span());  // a non-idempotent request is awaited
     p.submit(5000, 2, true, 1);
-    EXPECT_EQ(p.sends().back().attemptTimeout, Span());  // and so is what has no other attempt
+    EXPECT_EQ(p.sends().back().attemptTimeout, Span());  // so is a request without another attempt
 }
 
 TEST(Dispatch, AttemptIsNotAbandonedWithoutRetryBudget) {
     Dispatch::Options options{1, "here"};
-    options.retryBudgetSlack = 2, options.retryBudgetRatio = 0;  // one further send
+    options.retryBudgetSlack = 2, options.retryBudgetRatio = 0;  // allows one retry
     DispatchHarness p(options);
     p.applyGrants({grant("a", 4), grant("b", 4)});
     for (int i = 0; i < 8; ++i) p.endAttempt(p.submit(5000, 2, true), AttemptOutcome::answered);
@@ -743,7 +748,7 @@
     EXPECT_EQ(last.held[0].busy, 1u);
 }
 
-// --- the retry budget ----------------------------------------------------------------------------
+// --- Retry budget ---
 
 TEST(RetryBudget, AllowsHalfTheRatioPlusTheSlack) {
     RetryBudget b;
@@ -758,23 +763,25 @@
     b.recordRetry(kStart, window);
     EXPECT_FALSE(b.allowsRetry(kStart, window, 0.2, 2));
     EXPECT_FALSE(b.allowsRetry(kStart + Span::seconds(9), window, 0.2, 2));
-    EXPECT_TRUE(b.allowsRetry(kStart + Span::seconds(12), window, 0.2, 2));  // all of it is out of the window
+    EXPECT_TRUE(b.allowsRetry(kStart + Span::seconds(12), window, 0.2, 2));  // everything has left the window
 }
 
-// In every window: at most the share of the requests of this window or the one before, and the slack.
+// In each window the retries stay within the ratio of the requests in this window or the one before, plus the
+// slack.
 TEST(RetryBudget, HoldsInEverySlidingWindow) {
     const Span window = Span::seconds(10);
     const double ratio = 0.2, slack = 5;
     for (uint32_t seed = 0; seed < 40; ++seed) {
-        std::mt19937 chance(seed);
+        std::mt19937 random(seed);
         RetryBudget b;
         std::vector<Instant> requests, further;
-        Instant now = kStart + Span::micros(chance() % 10'000'000);
+        Instant now = kStart + Span::micros(random() % 10'000'000);
         double rate = 1;
         for (int i = 0; i < 3000; ++i) {
-            if (i % 150 == 0) rate = std::pow(10.0, static_cast<double>(chance() % 4));  // lulls and bursts
-            now = now + Span::micros(static_cast<int64_t>(chance() % 2'000'000 / rate));
-            if (chance() % 2)
+            if (i % 150 == 0)
+                rate = std::pow(10.0, static_cast<double>(random() % 4));  // quiet periods and bursts
+            now = now + Span::micros(static_cast<int64_t>(random() % 2'000'000 / rate));
+            if (random() % 2)
                 b.recordRequest(now, window), requests.push_back(now);
             else if (b.allowsRetry(now, window, ratio, slack))
                 b.recordRetry(now, window), further.push_back(now);
@@ -793,7 +800,7 @@
 
 TEST(Dispatch, RetriesStayWithinTheBudget) {
     Dispatch::Options options{1, "here"};
-    options.retryBudgetSlack = 8;  // half of it is this sender's, as it is alone
+    options.retryBudgetSlack = 8;  // half of it is for this proxy, the only one
     DispatchHarness p(options);
     p.applyGrants({grant("a", 50), grant("b", 50)});
     int gaveUp = 0;
@@ -812,7 +819,7 @@
 
 TEST(Dispatch, QueuedRetriesCountAgainstTheBudget) {
     Dispatch::Options options{1, "here"};
-    options.retryBudgetSlack = 2;  // one of it is this sender's
+    options.retryBudgetSlack = 2;  // one of it is for this proxy
     DispatchHarness p(options);
     p.applyGrants({grant("a", 8)});
     std::vector<RequestId> all;
@@ -839,7 +846,8 @@
     }
 }
 
-// Each life of every sender fails at all that it can. Together they keep to the rule in each window.
+// Proxies that are restarted often and whose first attempts all fail: together they must stay within the
+// budget in each window.
 TEST(Dispatch, RestartsDoNotMultiplyTheRetryBudget) {
     const uint32_t senders = 6;
     std::vector<Instant> further;
@@ -848,11 +856,11 @@
         for (int life = 0; life < 8; ++life, born = born + Span::millis(4100 + 13 * sender)) {
             Dispatch::Options options{sender, "here"};
             options.retryBudgetSlack = 52, options.retryBudgetRatio = 0, options.mayHaveRestarted = true;
-            DispatchHarness p(options);  // told of one sender, as an agent that knows nobody yet does
+            DispatchHarness p(options);  // reports one proxy, as an agent that has just started does
             p.applyGrants({grant("a", 50), grant("b", 50)});
             p.dispatch.updatePlannerStatus(p.now, 1, true, senders);
             p.dispatch.updatePlannerStatus(p.now, 1, true,
-                                           1);  // and once more: its agent alone was started again
+                                           1);  // again, as when the agent alone is restarted
             for (int i = 0; i < 400; ++i) {
                 p.advance(10);
                 auto id = p.submit(5000, 2, true, 2);
@@ -871,7 +879,7 @@
     }
 }
 
-// --- once-only requests: all sequences of endings ------------------------------------------------
+// --- Non-idempotent requests: all sequences of outcomes ---
 
 TEST(NonIdempotent, NeverRetriedAfterAnOutcomeThatMayHaveExecuted) {
     std::vector<std::vector<AttemptOutcome>> sequences{{}};
@@ -909,29 +917,29 @@
     }
 }
 
-// --- random schedules ----------------------------------------------------------------------------
+// --- Random schedules ---
 
-// Cores that are broken on purpose, to show that the checker sees it.
+// Deliberate defects that show that the checker detects them.
 struct NoDefect {
     static AttemptOutcome reportedOutcome(AttemptOutcome e) { return e; }
     static bool dropsRejections() { return false; }
 };
-struct TreatsBrokenAsNotExecuted {  // takes a broken connection for an endpoint that said it was full
+struct TreatsBrokenAsNotExecuted {  // reports a broken connection as a full instance
     static AttemptOutcome reportedOutcome(AttemptOutcome e) {
         return e == AttemptOutcome::connectionBroken ? AttemptOutcome::notExecuted : e;
     }
     static bool dropsRejections() { return false; }
 };
-struct DropsRejections {  // drops refusals on the floor
+struct DropsRejections {  // discards rejections
     static AttemptOutcome reportedOutcome(AttemptOutcome e) { return e; }
     static bool dropsRejections() { return true; }
 };
 
 struct Violations {
-    int duplicateExecutions = 0;  // a once-only request was sent again though it may have run
-    int falseRejections = 0;      // told that it has not run though it may have
-    int repeatedAnswers = 0;      // two final outputs, or something after the final one
-    int unanswered = 0;           // no final output at all
+    int duplicateExecutions = 0;  // a non-idempotent request was sent again though it may have executed
+    int falseRejections = 0;      // rejected as not executed though it may have executed
+    int repeatedAnswers = 0;      // two final outputs, or an output after the final one
+    int unanswered = 0;           // no final output
     int slotsExceeded = 0, attemptsExceeded = 0, queuedTooLong = 0, missedWakeups = 0, sentAfterDeadline = 0,
         unknown = 0;
     int sends = 0, rejections = 0, forwarded = 0, failed = 0, retries = 0;
@@ -953,33 +961,33 @@
         std::string instance;
     };
     struct Event {
-        RequestId id = 0;         // an ending, or
-        InstanceIndex probe = 0;  // a probe's outcome
+        RequestId id = 0;         // of an attempt that ends, or
+        InstanceIndex probe = 0;  // of a probe that ends
         std::string probedInstance;
         AttemptOutcome outcome = AttemptOutcome::answered;
         bool up = false;
     };
     std::map<RequestId, TrackedRequest> known;
-    std::map<std::string, uint32_t> slots, busy;  // as granted; as sent and not ended
+    std::map<std::string, uint32_t> slots, busy;  // slots granted; attempts in flight
     std::multimap<Instant, Event> events;
     std::map<InstanceIndex, std::string> nameOf;
     Instant now = kStart + Span::micros(below(1'000'000));
     Dispatch::Options options{seed, "here"};
     options.retryBudgetSlack = 1 + below(60);
-    Dispatch core(now, options);
+    Dispatch dispatch(now, options);
     uint64_t term = 1;
-    bool silent = false;  // the holder
+    bool silent = false;  // the planner
     RequestId nextId = 1;
-    const uint32_t failureRate = below(4);  // of four: how often a call ends badly
-    core.updateServices(now, {{"s", 4, Span::millis(300 + below(1500))}, {"t", 2, Span::millis(500)}});
-    core.updatePlannerStatus(now, term, true, 1 + below(4));
+    const uint32_t failureRate = below(4);  // share of attempts that fail, of four
+    dispatch.updateServices(now, {{"s", 4, Span::millis(300 + below(1500))}, {"t", 2, Span::millis(500)}});
+    dispatch.updatePlannerStatus(now, term, true, 1 + below(4));
 
     auto drain = [&] {
-        while (auto output = core.next()) {
+        while (auto output = dispatch.next()) {
             if (auto* s = std::get_if<SendRequest>(&*output)) {
                 ++f.sends;
                 auto found = known.find(s->id);
-                const InstanceInfo* view = core.findInstance(s->instance);
+                const InstanceInfo* view = dispatch.findInstance(s->instance);
                 if (found == known.end() || !view) {
                     ++f.unknown;
                     continue;
@@ -991,7 +999,7 @@
                 if (now > k.incoming.deadline) ++f.sentAfterDeadline;
                 f.retries += k.wasSent;
                 k.isInFlight = k.wasSent = true, k.instance = view->id;
-                // While the holder is silent one call may be at an instance of which no slot is ours.
+                // While the planner is silent, one call may be sent to an instance without a slot.
                 const uint32_t borrowed = silent ? 1 : 0;
                 if (++busy[view->id] > std::max(slots[view->id], borrowed)) ++f.slotsExceeded;
                 Event e;
@@ -1005,7 +1013,7 @@
                 if (e.outcome == AttemptOutcome::timedOut) when = std::max(most, now);
                 events.emplace(when, e);
             } else if (auto* p = std::get_if<ProbeInstance>(&*output)) {
-                const InstanceInfo* view = core.findInstance(p->instance);
+                const InstanceInfo* view = dispatch.findInstance(p->instance);
                 Event e;
                 e.probe = p->instance, e.probedInstance = view ? view->id : "", e.up = below(2) == 0;
                 events.emplace(now + Span::micros(below(100'000)), e);
@@ -1036,8 +1044,8 @@
 
     Instant nextInput = now, ends = now + Span::seconds(4), stop = ends + Span::seconds(12);
     while (now < stop) {
-        // The host wakes at what it was told and at what happens, a little late as hosts are.
-        Instant next = std::min(core.wakeAt(), stop);
+        // The proxy wakes at the requested time and at events, sometimes a little late.
+        Instant next = std::min(dispatch.wakeAt(), stop);
         if (!events.empty()) next = std::min(next, events.begin()->first);
         if (now < ends) next = std::min(next, nextInput);
         now = std::max(now, next) + Span::micros(below(8) == 0 ? below(3000) : 0);
@@ -1050,9 +1058,10 @@
                 if (expectedMayHaveExecuted(e.outcome)) k.mayHaveExecuted = true;
                 if (reachedEndpoint(e.outcome)) ++k.endpointOutcomes;
                 --busy[k.instance];
-                core.onAttemptEnded(now, e.id, Defect::reportedOutcome(e.outcome));
-            } else if (const InstanceInfo* v = core.findInstance(e.probe); v && v->id == e.probedInstance) {
-                core.onProbeResult(now, e.probe, e.up);
+                dispatch.onAttemptEnded(now, e.id, Defect::reportedOutcome(e.outcome));
+            } else if (const InstanceInfo* v = dispatch.findInstance(e.probe);
+                       v && v->id == e.probedInstance) {
+                dispatch.onProbeResult(now, e.probe, e.up);
             }
             drain();
         }
@@ -1077,25 +1086,25 @@
                             for (auto& [name, n] : slots) n = 0;
                         for (auto& x : g.grants) slots[x.instance] = x.slots;
                     }
-                    core.applyGrants(now, g);
+                    dispatch.applyGrants(now, g);
                     break;
                 }
                 case 2:
                     if (below(3) == 0) term += 2;
-                    core.updatePlannerStatus(now, term, below(5) != 0, 1 + below(4));
+                    dispatch.updatePlannerStatus(now, term, below(5) != 0, 1 + below(4));
                     break;
                 case 3: {
                     RequestId id = 1 + below(static_cast<uint32_t>(nextId));
                     auto found = known.find(id);
-                    if (found != known.end() && !found->second.final && core.isQueued(id)) {
-                        core.cancelRequest(now, id);
+                    if (found != known.end() && !found->second.final && dispatch.isQueued(id)) {
+                        dispatch.cancelRequest(now, id);
                         found->second.withdrawn = true;
                     }
                     break;
                 }
                 case 4:
-                    if (below(4) == 0) core.onPlannerDisconnected();
-                    if (below(3) == 0) silent = !silent, core.setPlannerSilent(now, silent);
+                    if (below(4) == 0) dispatch.onPlannerDisconnected();
+                    if (below(3) == 0) silent = !silent, dispatch.setPlannerSilent(now, silent);
                     break;
                 default: {
                     static constexpr int kTimes[] = {150, 400, 1000, 3000, 6000};
@@ -1110,12 +1119,12 @@
                                       left};
                     TrackedRequest& k = known[a.id];
                     k.incoming = a, k.receivedAt = k.queuedSince = now;
-                    core.onRequest(now, a);
+                    dispatch.onRequest(now, a);
                 }
             }
             drain();
         }
-        for (int n = 0; n < 3 && now >= core.wakeAt(); ++n) core.tick(now), drain();
+        for (int n = 0; n < 3 && now >= dispatch.wakeAt(); ++n) dispatch.tick(now), drain();
         bool anyQueued = false;
         for (auto& [id, k] : known) {
             if (k.final || k.withdrawn || k.isInFlight) continue;
@@ -1125,14 +1134,15 @@
             if (k.wasSent) most = std::max(most, k.queuedSince + Span::millis(200));
             if (now > most + Span::millis(56)) ++f.queuedTooLong;
         }
-        if (anyQueued && (core.wakeAt() <= now || core.wakeAt() > now + Span::millis(251))) ++f.missedWakeups;
+        if (anyQueued && (dispatch.wakeAt() <= now || dispatch.wakeAt() > now + Span::millis(251)))
+            ++f.missedWakeups;
         if (now >= ends && !anyQueued && events.empty()) break;
     }
     for (auto& [id, k] : known)
         if (!k.final && !k.withdrawn) ++f.unanswered;
 }
 
-// DISPATCH_SCHEDULES=10000 for a long search, DISPATCH_FIRST to begin elsewhere.
+// For a long search set DISPATCH_SCHEDULES=10000; DISPATCH_FIRST sets the first seed.
 uint32_t numberFromEnvironmentOr(const char* name, uint32_t otherwise) {
     const char* text = std::getenv(name);
     return text ? static_cast<uint32_t>(std::atoi(text)) : otherwise;
@@ -1144,14 +1154,14 @@
     Violations f;
     for (uint32_t seed = kFirstSeed; seed < kFirstSeed + kScheduleCount; ++seed) {
         runRandomSchedule<NoDefect>(seed, f);
-        ASSERT_EQ(f.total(), 0) << "seed " << seed << ": doubles " << f.duplicateExecutions
-                                << ", false promises " << f.falseRejections << ", repeated "
-                                << f.repeatedAnswers << ", unanswered " << f.unanswered << ", over slots "
-                                << f.slotsExceeded << ", over attempts " << f.attemptsExceeded
-                                << ", held long " << f.queuedTooLong << ", asleep " << f.missedWakeups
-                                << ", unknown " << f.unknown;
+        ASSERT_EQ(f.total(), 0) << "seed " << seed << ": duplicate executions " << f.duplicateExecutions
+                                << ", false rejections " << f.falseRejections << ", repeated answers "
+                                << f.repeatedAnswers << ", unanswered " << f.unanswered << ", slots exceeded "
+                                << f.slotsExceeded << ", attempts exceeded " << f.attemptsExceeded
+                                << ", queued too long " << f.queuedTooLong << ", missed wakeups "
+                                << f.missedWakeups << ", unknown " << f.unknown;
     }
-    // The schedules have come by everything that is looked for.
+    // The schedules exercise everything that is checked.
     EXPECT_GT(f.sends, 10000);
     EXPECT_GT(f.rejections, 1000);
     EXPECT_GT(f.forwarded, 1000);
--- a/system/proxy/proxy.cpp
+++ b/system/proxy/proxy.cpp
@@ -154,7 +154,7 @@
 
 bool Proxy::start(std::string& error) {
     if (!settings_.front || !settings_.readiness) {
-        error = "listen_addresses: front and readiness expected for a role that serves edge";
+        error = "listen_addresses: front and readiness are required for a role that serves edge";
         return false;
     }
     auto front = network::Address::parse(settings_.front->text());
@@ -235,7 +235,7 @@
         return;
     }
     auto made = configuration::trusted(configurationText_.text());
-    if (!made) return spdlog::error("configuration {}: agent: can't be read", c.version);
+    if (!made) return spdlog::error("configuration {} from the agent cannot be parsed", c.version);
     limits_ = {made->limits.headerBytes, made->limits.bodyBytes, made->limits.headerTimeout,
                made->limits.idleTimeout};
     std::vector<ServiceSpec> specs;
@@ -534,25 +534,24 @@
     Exchange& e = found->second;
     const ExpectedResponse expected{e.attemptId, e.isIdempotent, e.request.method() == "HEAD"};
     const uint64_t excessBefore = connection.reader.excessCount();
-    auto conclusion =
-        connection.reader.read(connection.stream->in(), connection.stream->isClosed(), expected);
+    auto result = connection.reader.read(connection.stream->in(), connection.stream->isClosed(), expected);
     excessResponses_ += connection.reader.excessCount() - excessBefore;
-    if (!conclusion) return;
-    invalidResponses_ += conclusion->isInvalid;
-    if (!conclusion->response) return failConnection(connection, conclusion->outcome);
-    if (conclusion->keepAlive) connection.maxIdle = *conclusion->keepAlive;
-    const RequestId request = connection.requestId;
+    if (!result) return;
+    invalidResponses_ += result->isInvalid;
+    if (!result->response) return failConnection(connection, result->outcome);
+    if (result->keepAlive) connection.maxIdle = *result->keepAlive;
+    const RequestId id = connection.requestId;
     connection.requestId = 0, e.connection = nullptr;
     loop_.cancel(connection.timer);
-    e.response = std::move(conclusion->response);
+    e.response = std::move(result->response);
     updateBufferedBytes(e);
-    if (conclusion->isReusable) {
+    if (result->isReusable) {
         connection.isIdle = true, connection.idleSince = loop_.now();
         poolOf(connection.instanceIndex).idle.push_back(&connection);
     } else {
         closeConnection(connection);
     }
-    dispatch_.onAttemptEnded(loop_.now(), request, conclusion->outcome);
+    dispatch_.onAttemptEnded(loop_.now(), id, result->outcome);
     scheduleOutputs();
 }
 
@@ -673,7 +672,7 @@
 void Proxy::startDraining() {
     if (isDraining_) return;
     isDraining_ = true, drainingSince_ = loop_.now();
-    spdlog::info("leaving: {} connections, {} requests under way", visits_.size(), exchanges_.size());
+    spdlog::info("leaving: {} connections, {} requests in flight", visits_.size(), exchanges_.size());
     dispatch_.startDraining(loop_.now());
     scheduleOutputs();
     loop_.cancel(sweepTimer_);
--- a/system/proxy/proxy_test.cpp
+++ b/system/proxy/proxy_test.cpp
@@ -20,7 +20,7 @@
 namespace petrelpond::proxy {
 namespace {
 
-constexpr int kReadTimeoutMs = 5000;  // ms; only a failing test waits for so long
+constexpr int kReadTimeoutMs = 5000;  // only reached by a failing test
 
 using network::Turning;
 
@@ -30,7 +30,7 @@
     return out;
 }
 
-// One end of a connection whose bytes are read with time bounds.
+// One end of a connection, with read timeouts.
 class TestConnection {
   public:
     explicit TestConnection(int fd) : fd_(fd) {}
@@ -58,7 +58,8 @@
         setsockopt(fd_, SOL_SOCKET, SO_LINGER, &hard, sizeof hard);
         close();
     }
-    // Takes what `whole` finds at the front: it gives the length, or 0 while it is not there.
+    // Removes from the front of the received bytes what `whole` finds: it returns the length, or 0 if bytes
+    // are missing.
     template <class Whole>
     std::string takeFront(Whole whole) {
         while (true) {
@@ -70,7 +71,7 @@
             if (!receive()) return "";
         }
     }
-    // A message with the length that its head tells.
+    // Reads a message with a Content-Length.
     std::string readMessage() {
         return takeFront([](const std::string& in) -> size_t {
             auto end = http::headEnd(in);
@@ -84,7 +85,7 @@
             return in.size() >= all ? all : 0;
         });
     }
-    bool closesWithoutMoreBytes() {  // the peer has closed, and said nothing before that
+    bool closesWithoutMoreBytes() {  // the peer closes without sending anything more
         while (receive()) {
         }
         return isClosed_ && in_.empty();
@@ -105,7 +106,7 @@
     std::string in_;
 };
 
-// Listens on a port that the system chose.
+// Listens on a port chosen by the system.
 class TestListener {
   public:
     TestListener() : fd_(::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0)) {
@@ -126,7 +127,7 @@
     std::unique_ptr<TestConnection> accept() {
         pollfd p{fd_, POLLIN, 0};
         if (::poll(&p, 1, kReadTimeoutMs) != 1) {
-            ADD_FAILURE() << "nobody came";
+            ADD_FAILURE() << "no connection arrived";
             return std::make_unique<TestConnection>(-1);
         }
         return std::make_unique<TestConnection>(::accept4(fd_, nullptr, nullptr, SOCK_CLOEXEC));
@@ -191,7 +192,7 @@
            "Content-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body;
 }
 
-// Views into `text`, which must live on.
+// Returns views into `text`, which must outlive them.
 http::Head headOf(const std::string& text) {
     http::Head head;
     auto end = http::headEnd(text);
@@ -221,8 +222,8 @@
         settings_.readiness = configuration::Address{"127.0.0.1", readinessPort_};
         settings_.portFirst = agentListener_.port() - 2, settings_.portLast = settings_.portFirst + 15;
         settings_.bounds.grace = Span::millis(4000);
-        settings_.bootstrap = true;              // no earlier life whose further sends would count
-        settings_.limits.fileDescriptors = 396;  // 64 connections of clients
+        settings_.bootstrap = true;              // no previous process whose retries count
+        settings_.limits.fileDescriptors = 396;  // allows 64 client connections
         settings_.limits.memoryMb = 8;
         proxy_ = std::make_unique<Proxy>(turning_.loop, settings_, 1);
         std::string error;
@@ -243,7 +244,7 @@
         if (f.size() < 5) return {network::Kind::want, ""};
         return {static_cast<network::Kind>(f[4]), f.substr(5)};
     }
-    // The next report for which this holds.
+    // Waits for the next report that satisfies the predicate.
     template <class Is>
     std::optional<scaler::Report> waitForReport(Is is) {
         for (int i = 0; i < 100; ++i) {
@@ -266,7 +267,7 @@
         }
         return frame(network::Kind::grants, network::packed(g));
     }
-    // Configured, linked and with slots at these endpoints: i-1, i-2 and so on.
+    // Configures and links the proxy and grants it slots at these instances, named i-1, i-2 and so on.
     void configureWithSlots(std::vector<std::pair<const TestListener*, uint32_t>> to) {
         agent_->send(configuration(7) + standing() + grants(to));
         ASSERT_TRUE(waitForReport([](auto& r) { return r.whole; }));
@@ -277,7 +278,7 @@
         c->send(bytes);
         return c->readMessage();
     }
-    // All that came to the proxy before has been looked at.
+    // Waits until the proxy has processed everything it received before.
     void waitUntilProcessed() {
         for (int i = 0; i < 2; ++i) EXPECT_EQ(statusOf(sendAndReceive(request("/nowhere/", "x"))), 404);
     }
@@ -357,7 +358,7 @@
     std::string got = c->takeFront([](const std::string& in) { return http::headEnd(in).value_or(0); });
     EXPECT_EQ(statusOf(got), 200);
     EXPECT_EQ(field(got, "Content-Length"), "70");
-    c->send(request("/often/a", "id-2"));  // both connections go on
+    c->send(request("/often/a", "id-2"));  // both connections are kept
     EXPECT_EQ(field(e->readMessage(), "X-Attempt-Id"), "id-2");
     e->send(answer("id-2", "body"));
     EXPECT_EQ(bodyOf(c->readMessage()), "body");
@@ -392,9 +393,9 @@
     std::string one = e->readMessage();
     auto first = http::wholeNumber(field(one, "X-Time-Remaining"));
     ASSERT_TRUE(first);
-    EXPECT_LE(*first, 4000u);  // the route's
+    EXPECT_LE(*first, 4000u);  // the route's timeout
     EXPECT_GT(*first, 3000u);
-    d->send(request("/once/b", "id-2", "", "", 3000));  // waits, and its start is paced
+    d->send(request("/once/b", "id-2", "", "", 3000));  // is queued, and its start is paced
     waitUntilProcessed();
     e->send(answer("id-1", ""));
     EXPECT_EQ(statusOf(c->readMessage()), 200);
@@ -445,7 +446,7 @@
             } else {
                 c->send(head + "Content-Length: " + std::to_string(length) + "\r\n\r\n" + up);
             }
-            if (!e) e = listener.accept();  // and the connection is kept
+            if (!e) e = listener.accept();  // the connection is kept
             std::string got = e->readMessage();
             ASSERT_EQ(field(got, "X-Attempt-Id"), id);
             EXPECT_EQ(headOf(got).first, "POST");
@@ -485,7 +486,7 @@
         EXPECT_EQ(statusOf(c->readMessage()), 502) << bad;
         EXPECT_TRUE(e->closesWithoutMoreBytes());
         EXPECT_FALSE(listener.hasPendingConnection());
-        EXPECT_FALSE(other.hasPendingConnection());  // it may have run: sent once
+        EXPECT_FALSE(other.hasPendingConnection());  // it may have executed, so it is sent once
         ++n;
     }
     auto c = client();
@@ -519,7 +520,7 @@
     c->send(request("/once/b", "id-2"));
     auto f = listener.accept();
     EXPECT_EQ(field(f->readMessage(), "X-Attempt-Id"), "id-2");
-    f->send(answer("id-1", "again") + answer("id-2", "two"));  // both at once
+    f->send(answer("id-1", "again") + answer("id-2", "two"));  // both in one write
     EXPECT_EQ(bodyOf(c->readMessage()), "two");
     EXPECT_TRUE(f->closesWithoutMoreBytes());
 
@@ -527,7 +528,7 @@
     auto g = listener.accept();
     g->readMessage();
     g->send(answer("id-2", "again"));
-    g->close();  // and the right one never comes
+    g->close();  // without a response to this request
     EXPECT_EQ(statusOf(c->readMessage()), 502);
 }
 
@@ -548,7 +549,7 @@
         f->readMessage();
         f->send(answer("id-2", "two"));
         EXPECT_EQ(bodyOf(c->readMessage()), "two");
-        f->send(excess);  // later, while it lies idle
+        f->send(excess);  // later, while the connection is idle
         EXPECT_TRUE(f->closesWithoutMoreBytes());
     }
     EXPECT_FALSE(listener.hasPendingConnection());
@@ -581,9 +582,9 @@
     auto e = listener.accept();
     e->readMessage();
     e->send(answer("id-1", "full", "X-Not-Executed: 1\r\n", "503 Service Unavailable", false));
-    EXPECT_EQ(field(e->readMessage(), "X-Attempt-Id"), "id-1");  // once more, as it has not run
+    EXPECT_EQ(field(e->readMessage(), "X-Attempt-Id"), "id-1");  // retried, as it has not been executed
     e->send(answer("id-1", "full", "X-Not-Executed: 1\r\n", "503 Service Unavailable", false));
-    std::string back = c->readMessage();  // two endpoints at most
+    std::string back = c->readMessage();  // at most two attempts
     EXPECT_EQ(statusOf(back), 503);
     EXPECT_NE(field(back, "Retry-After"), "(none)");
     EXPECT_EQ(bodyOf(back), "");
@@ -642,7 +643,7 @@
         EXPECT_FALSE(listener.hasPendingConnection()) << i;
         EXPECT_FALSE(other.hasPendingConnection()) << i;
     }
-    auto c = client();  // what may run again does so elsewhere
+    auto c = client();  // an idempotent request is retried elsewhere
     c->send(request("/often/a", "id-2", "", "body"));
     auto e = listener.accept();
     e->readMessage();
@@ -687,7 +688,7 @@
     e->send(answer("id-1", "one"));
     EXPECT_EQ(bodyOf(c->readMessage()), "one");
     c->send(request("/once/b", "id-2"));
-    EXPECT_EQ(field(e->readMessage(), "X-Attempt-Id"), "id-2");  // kept so far
+    EXPECT_EQ(field(e->readMessage(), "X-Attempt-Id"), "id-2");  // kept until now
     e->send(answer("id-2", "two"));
     EXPECT_EQ(bodyOf(c->readMessage()), "two");
     e->close();
@@ -747,16 +748,16 @@
     c->send(request("/once/a", "id-1"));
     auto e = listener.accept();
     e->readMessage();
-    agent_->send(standing(1, 100) + grants({}));  // of 50 connections none is one sender's of a hundred
+    agent_->send(standing(1, 100) + grants({}));  // with 100 proxies none may keep one of 50 connections
     EXPECT_TRUE(waitForReport(
         [](auto& r) { return !r.held.empty() && r.held[0].busy == 1 && r.held[0].slots == 1; }));
     e->send(answer("id-1", "whole"));
     EXPECT_EQ(bodyOf(c->readMessage()), "whole");
-    EXPECT_TRUE(e->closesWithoutMoreBytes());  // its connections are of no more use
+    EXPECT_TRUE(e->closesWithoutMoreBytes());  // and is not parked
     EXPECT_TRUE(waitForReport([](auto& r) { return !r.held.empty() && r.held[0].slots == 0; }));
 }
 
-// Slots go from sender to sender and come back: the connection of the last call serves the next.
+// Slots move between proxies and return: the connection of the last call serves the next one.
 TEST_F(ProxyTest, ConnectionIsReusedWhenItsSlotReturns) {
     TestListener listener;
     configureWithSlots({{&listener, 1}});
@@ -776,7 +777,7 @@
     EXPECT_EQ(bodyOf(c->readMessage()), "two");
 }
 
-// One that its endpoint ended meanwhile, or that said more than it was asked, is not used again.
+// A connection that the instance closed, or that delivered unexpected bytes, is not reused.
 TEST_F(ProxyTest, ParkedConnectionThatEndedIsNotReused) {
     TestListener listener;
     configureWithSlots({{&listener, 1}});
@@ -806,15 +807,17 @@
         "max_attempts":1})";
     agent_->send(configuration(8, route) + configuration(7) + standing());
     ASSERT_TRUE(waitForReport([](auto& r) { return r.whole; }));
-    EXPECT_EQ(statusOf(sendAndReceive(request("/new/a", "id-1"))), 503);  // known, and without a slot
+    EXPECT_EQ(statusOf(sendAndReceive(request("/new/a", "id-1"))),
+              503);  // the route is known, but there is no slot
     EXPECT_EQ(statusOf(sendAndReceive("GET /new/a HTTP/1.1\r\nHost: h.example\r\n\r\n")),
-              400);  // without its id
+              400);  // without an attempt id
     agent_->send(configuration(9) + standing(2));
     ASSERT_TRUE(waitForReport([](auto& r) { return r.whole && r.term == 2; }));
     EXPECT_EQ(statusOf(sendAndReceive(request("/new/a", "id-1"))), 404);
 }
 
-// As after a start between two versions: what was made from a text that it has not is no use to it.
+// As after a start between two versions: a delta against a text that the proxy does not have cannot be
+// applied.
 TEST_F(ProxyTest, DeltaAgainstAnUnknownTextRequestsTheFullConfiguration) {
     configuration::HeldText held(2);
     for (int version : {7, 8}) {
@@ -842,7 +845,7 @@
     turning_.ask([this] { proxy_->startDraining(); });
     EXPECT_EQ(statusOf(requestReadiness()), 503);
     EXPECT_TRUE(waitForReport([](auto& r) { return r.leaving; }));
-    auto late = client();  // one that the platform still sent
+    auto late = client();  // still sent by the platform
     late->send(request("/once/b", "id-2"));
     auto f = listener.accept();
     EXPECT_EQ(field(f->readMessage(), "X-Attempt-Id"), "id-2");
@@ -859,8 +862,8 @@
     EXPECT_TRUE(turning_.endsWithin(kReadTimeoutMs));
 }
 
-// Where few senders are left the platform sends clients here to the end of the grace. Whoever is read is
-// answered.
+// With few proxies left, the platform sends clients here until the end of the grace period. Every request
+// that is read must be answered.
 TEST_F(ProxyTest, RequestsLateInTheGracePeriodAreRejected) {
     TestListener listener;
     configureWithSlots({{&listener, 1}});
@@ -904,12 +907,12 @@
     configureWithSlots({});
     auto refused = [&] {
         return sendAndReceive(request("/often/a", "x", "", "", 500));
-    };  // sooner than any boot
+    };  // shorter than any boot
     std::string got = refused();
     EXPECT_EQ(statusOf(got), 503);
     EXPECT_EQ(field(got, "Connection"), "(none)");
     std::vector<std::unique_ptr<TestConnection>> all;
-    for (int i = 0; i < 32; ++i) {  // half of those that may come lie idle
+    for (int i = 0; i < 32; ++i) {  // half of the allowed connections are idle
         all.push_back(client());
         all.back()->send(request("/nowhere/", "x"));
         ASSERT_EQ(statusOf(all.back()->readMessage()), 404) << i;
@@ -927,7 +930,7 @@
         all.back()->send(request("/often/a", "x"));
     }
     waitUntilProcessed();
-    EXPECT_EQ(statusOf(sendAndReceive(request("/often/a", "y"))), 503);  // and is not held
+    EXPECT_EQ(statusOf(sendAndReceive(request("/often/a", "y"))), 503);  // and is not queued
 }
 
 TEST_F(ProxyTest, BufferedBytesAreLimited) {
@@ -935,7 +938,7 @@
     configureWithSlots({{&listener, 1}});
     std::string large(260'000, 'x');
     std::vector<std::unique_ptr<TestConnection>> all;
-    for (int i = 0; i < 4; ++i) {  // an eighth of 8 MB is just under four of them
+    for (int i = 0; i < 4; ++i) {  // an eighth of 8 MB is slightly less than four bodies
         all.push_back(client());
         all.back()->send(request("/once/a", "id-" + std::to_string(i), "", large));
         if (i < 3) waitUntilProcessed();
--- a/system/proxy/response_reader_model_test.cpp
+++ b/system/proxy/response_reader_model_test.cpp
@@ -1,7 +1,7 @@
-// Every interleaving, up to a bound, of two requests on connections to an instance that behaves well or
-// badly: pieces of answers arrive or are lost, the connection closes or is reset, the sender gives up.
-// Counted and exhausted, not sampled. No answer goes to another request, and nothing that has run is told or
-// taken not to have run.
+// Explores exhaustively, up to a bound, every interleaving of two requests on connections to an instance that
+// behaves well or badly: chunks of responses arrive or are lost, the connection closes or is reset, the proxy
+// abandons the attempt. Guards against a response that goes to another request, and against a request that is
+// reported or treated as not executed although it was executed.
 #include <gtest/gtest.h>
 
 #include <array>
@@ -31,7 +31,7 @@
 }
 std::string bodyFor(const std::string& id) { return "body of " + id; }
 
-// Head and body as two pieces, the head cut once more.
+// The head in two chunks and the body in a third.
 std::vector<std::string> makeResponse(int status, const std::string& id, const std::string& more,
                                       const std::string& body) {
     const std::string head = makeHead(status, id, body.size(), more);
@@ -49,44 +49,44 @@
 const std::vector<InstanceBehavior>& instanceBehaviors() {
     using Id = const std::string&;
     static const std::vector<InstanceBehavior> all = {
-        {"answers", true, [](Id id, Id) { return successResponse(id); }},
-        {"answers and closes", true, [](Id id, Id) { return successResponse(id); },
+        {"responds", true, [](Id id, Id) { return successResponse(id); }},
+        {"responds and closes", true, [](Id id, Id) { return successResponse(id); },
          InstanceBehavior::ConnectionEnd::closes},
-        {"answers twice", true,
+        {"responds twice", true,
          [](Id id, Id) { return concatenated(successResponse(id), successResponse(id)); }},
-        {"answers another after it", true,
+        {"responds to the other request afterwards", true,
          [](Id id, Id other) { return concatenated(successResponse(id), successResponse(other)); }},
-        {"answers another before it", true,
+        {"responds to the other request first", true,
          [](Id id, Id other) { return concatenated(successResponse(other), successResponse(id)); }},
-        {"answers another alone", true, [](Id, Id other) { return successResponse(other); },
+        {"responds to the other request only", true, [](Id, Id other) { return successResponse(other); },
          InstanceBehavior::ConnectionEnd::closes},
-        {"sends more than it told", true,
+        {"sends more than Content-Length", true,
          [](Id id, Id) { return concatenated(successResponse(id), {"more"}); }},
-        {"refuses", false, [](Id id, Id) { return makeResponse(503, id, "X-Not-Executed: 1\r\n", ""); }},
-        {"refuses another, runs ours", true,
+        {"rejects", false, [](Id id, Id) { return makeResponse(503, id, "X-Not-Executed: 1\r\n", ""); }},
+        {"rejects the other request, executes ours", true,
          [](Id id, Id other) {
              return concatenated(makeResponse(503, other, "X-Not-Executed: 1\r\n", ""), successResponse(id));
          }},
-        {"refuses nobody by name", true,
+        {"rejects without an attempt id", true,
          [](Id, Id) { return makeResponse(503, "", "X-Not-Executed: 1\r\n", ""); }},
-        {"says 503 without a promise", true, [](Id id, Id) { return makeResponse(503, id, "", "busy"); }},
-        {"says 429 without a promise", true, [](Id id, Id) { return makeResponse(429, id, "", ""); }},
+        {"503 without X-Not-Executed", true, [](Id id, Id) { return makeResponse(503, id, "", "busy"); }},
+        {"429 without X-Not-Executed", true, [](Id id, Id) { return makeResponse(429, id, "", ""); }},
         {"is another instance", false, [](Id id, Id) { return makeResponse(421, id, "", ""); }},
         {"fails", true, [](Id id, Id) { return makeResponse(500, id, "", "oh"); }},
         {"has no seal", true, [](Id id, Id) { return makeResponse(200, id, "", bodyFor(id)); }},
-        {"cuts the body", true,
+        {"truncates the body", true,
          [](Id id, Id) {
              return std::vector{makeHead(200, id, 50, "X-Endpoint-Seal: s\r\n"), bodyFor(id)};
          },
          InstanceBehavior::ConnectionEnd::closes},
-        {"speaks no HTTP", true, [](Id, Id) { return std::vector<std::string>{"no answer\r\n\r\n"}; }},
-        {"has an interim answer", true,
+        {"sends no HTTP", true, [](Id, Id) { return std::vector<std::string>{"no answer\r\n\r\n"}; }},
+        {"sends an interim response", true,
          [](Id id, Id) { return concatenated({"HTTP/1.1 100 Continue\r\n\r\n"}, successResponse(id)); }},
-        {"closes unread", false, [](Id, Id) { return std::vector<std::string>{}; },
+        {"closes without reading", false, [](Id, Id) { return std::vector<std::string>{}; },
          InstanceBehavior::ConnectionEnd::closes},
-        {"runs and closes", true, [](Id, Id) { return std::vector<std::string>{}; },
+        {"executes and closes", true, [](Id, Id) { return std::vector<std::string>{}; },
          InstanceBehavior::ConnectionEnd::closes},
-        {"runs and resets", true, [](Id, Id) { return std::vector<std::string>{}; },
+        {"executes and resets", true, [](Id, Id) { return std::vector<std::string>{}; },
          InstanceBehavior::ConnectionEnd::resets},
         {"is silent", true, [](Id, Id) { return std::vector<std::string>{}; }},
     };
@@ -98,8 +98,7 @@
     std::string violation;
 };
 
-// One connection and the two requests that are to go over it, the second on a new one where the first is not
-// kept.
+// One connection and two requests in sequence. The second uses a new connection if the first is not kept.
 struct ConnectionModel {
     std::array<const InstanceBehavior*, 2> behaviors;
     bool isIdempotent = false;
@@ -107,12 +106,12 @@
 
     ResponseReader reader{1000};
     ReaderDefect defect = ReaderDefect::none;
-    std::vector<std::string> inTransit;  // on its way to the sender
-    size_t arrived = 0;                  // of these
-    std::string buffer;                  // read from the socket, not taken yet
+    std::vector<std::string> inTransit;  // chunks on their way to the proxy
+    size_t arrived = 0;                  // number of these that have arrived
+    std::string buffer;                  // received and not consumed yet
     InstanceBehavior::ConnectionEnd end = InstanceBehavior::ConnectionEnd::staysOpen;
-    int currentRequest = -1;  // the request under way; -1: none
-    int sentCount = 0;        // how many were sent
+    int currentRequest = -1;  // the request in flight; -1: none
+    int sentCount = 0;        // number of requests sent
     bool isOpen = false, mayInjectFault = true;
     std::array<bool, 2> executed{};
 
@@ -132,7 +131,7 @@
     void send() {
         if (!isOpen) connect();
         const InstanceBehavior& does = *behaviors[static_cast<size_t>(sentCount)];
-        // A peer that has closed meanwhile reads nothing more.
+        // A peer that has closed reads nothing more.
         if (end == InstanceBehavior::ConnectionEnd::staysOpen) {
             executed[static_cast<size_t>(sentCount)] = does.executes;
             for (std::string& piece : does.makeChunks(idOf(sentCount), idOf(1 - sentCount))) {
@@ -142,36 +141,37 @@
         }
         currentRequest = sentCount++;
     }
-    void finishAttempt(AttemptOutcome how, const network::HttpAnswer* got) {
+    void finishAttempt(AttemptOutcome outcome, const network::HttpAnswer* got) {
         const auto request = static_cast<size_t>(currentRequest);
-        if (!mayHaveExecuted(how) && executed[request]) fail("taken not to have run");
-        const bool passes = how == AttemptOutcome::answered || how == AttemptOutcome::serverError;
+        if (!mayHaveExecuted(outcome) && executed[request])
+            fail("an executed request was treated as not executed");
+        const bool passes = outcome == AttemptOutcome::answered || outcome == AttemptOutcome::serverError;
         if (passes && got) {
             const auto id = got->head.field("X-Attempt-Id");
-            if (!id || *id != idOf(currentRequest)) fail("an answer that belongs to another request");
+            if (!id || *id != idOf(currentRequest)) fail("a response that belongs to another request");
             const bool success = got->status >= 200 && got->status < 300;
             if (success && got->body != bodyFor(idOf(currentRequest)))
-                fail("a success without its whole body");
-            if (success && !got->head.field("X-Endpoint-Seal")) fail("a success that is not the instance's");
+                fail("a success with an incomplete body");
+            if (success && !got->head.field("X-Endpoint-Seal")) fail("a success without the seal");
         }
         currentRequest = -1;
     }
     void read(bool ended) {
-        if (currentRequest < 0) {  // bytes that nobody asked for, or the end of a connection that rests
+        if (currentRequest < 0) {  // unexpected bytes, or the end of an idle connection
             isOpen = isOpen && !ended && buffer.empty();
             return;
         }
         const ExpectedResponse expected{idOf(currentRequest), isIdempotent, false};
-        const auto conclusion = reader.read(buffer, ended, expected);
-        if (!conclusion) {
+        const auto readResult = reader.read(buffer, ended, expected);
+        if (!readResult) {
             if (ended) finishAttempt(AttemptOutcome::connectionBroken, nullptr), isOpen = false;
             return;
         }
-        isOpen = conclusion->response && conclusion->isReusable;
-        finishAttempt(conclusion->outcome, conclusion->response.get());
+        isOpen = readResult->response && readResult->isReusable;
+        finishAttempt(readResult->outcome, readResult->response.get());
     }
 
-    // Each thing that can happen next, from a copy.
+    // Explores each possible next event on a copy.
     void explore() const {
         ++result->states;
         if (!result->violation.empty()) return;
@@ -188,7 +188,7 @@
                 p.buffer += p.inTransit[p.arrived++];
                 p.read(false);
             });
-            // Two pieces at once: the kernel had both as the sender came to read.
+            // Two chunks in one read.
             if (arrived + 1 < inTransit.size()) {
                 branch([](ConnectionModel& p) {
                     p.buffer += p.inTransit[p.arrived++];
@@ -219,13 +219,13 @@
     }
 };
 
-ExplorationResult exploreAll(bool repeatable, ReaderDefect defect) {
+ExplorationResult exploreAll(bool isIdempotent, ReaderDefect defect) {
     ExplorationResult counts;
     for (const InstanceBehavior& first : instanceBehaviors()) {
         for (const InstanceBehavior& second : instanceBehaviors()) {
             ConnectionModel play;
             play.behaviors = {&first, &second};
-            play.isIdempotent = repeatable;
+            play.isIdempotent = isIdempotent;
             play.defect = defect;
             play.result = &counts;
             play.explore();
@@ -235,12 +235,12 @@
 }
 
 TEST(ResponseReaderModel, NoInterleavingMisdeliversAResponseOrRunsARequestTwice) {
-    for (const bool repeatable : {false, true}) {
-        const ExplorationResult counts = exploreAll(repeatable, ReaderDefect::none);
+    for (const bool isIdempotent : {false, true}) {
+        const ExplorationResult counts = exploreAll(isIdempotent, ReaderDefect::none);
         EXPECT_EQ(counts.violation, "");
         EXPECT_GT(counts.states, 10000u);
-        std::cout << (repeatable ? "repeatable: " : "once only: ") << counts.states << " states, "
-                  << counts.finalStates << " ends\n";
+        std::cout << (isIdempotent ? "idempotent: " : "non-idempotent: ") << counts.states << " states, "
+                  << counts.finalStates << " final states\n";
     }
 }
 TEST(ResponseReaderModel, DetectsUncheckedAttemptId) {
@@ -252,23 +252,24 @@
 TEST(ResponseReaderModel, DetectsTrustInUnconfirmedRejection) {
     EXPECT_NE(exploreAll(false, ReaderDefect::acceptsUnconfirmedRejection).violation, "");
 }
-// Where a request's own answer came twice the id of the next one tells them apart, and bytes that are no
-// answer spoil it; what this defect breaks is told by the conclusion itself.
+// The model does not detect this defect: the attempt id tells a duplicate response from the next one, and
+// bytes that are not a response make the result invalid. The read result shows it directly.
 TEST(ResponseReaderModel, ConnectionWithExcessResponseIsNotReused) {
     for (const ReaderDefect defect : {ReaderDefect::none, ReaderDefect::reusesAfterExcess}) {
         ResponseReader reading(1000, defect);
         std::string in;
         for (const std::string& piece : concatenated(successResponse("first"), successResponse("first")))
             in += piece;
-        const auto conclusion = reading.read(in, false, {"first", false, false});
-        ASSERT_TRUE(conclusion);
-        EXPECT_EQ(conclusion->outcome, AttemptOutcome::answered);
-        EXPECT_EQ(conclusion->isReusable, defect == ReaderDefect::reusesAfterExcess);
+        const auto readResult = reading.read(in, false, {"first", false, false});
+        ASSERT_TRUE(readResult);
+        EXPECT_EQ(readResult->outcome, AttemptOutcome::answered);
+        EXPECT_EQ(readResult->isReusable, defect == ReaderDefect::reusesAfterExcess);
     }
 }
 
-// Answers with bytes changed, left out and put in by chance: never a crash, and what is passed on is whole
-// and ours. ANSWER_INPUTS=1000000 for a long run, ANSWER_FIRST to begin elsewhere.
+// Responses with bytes randomly changed, removed and inserted never crash the reader, and what is forwarded
+// is complete and belongs to the request. For a long run set ANSWER_INPUTS=1000000; ANSWER_FIRST sets the
+// first seed.
 TEST(ResponseReaderModel, CorruptedBytesAreNeverForwardedAsAnotherResponse) {
     const uint32_t first = numberFromEnvironment("ANSWER_FIRST", 1),
                    count = numberFromEnvironment("ANSWER_INPUTS", 50000);
@@ -294,23 +295,23 @@
         ResponseReader reading(1000);
         std::string in;
         size_t at = 0;
-        std::optional<ReadResult> conclusion;
-        while (!conclusion && at < bytes.size()) {
+        std::optional<ReadResult> readResult;
+        while (!readResult && at < bytes.size()) {
             const size_t more = 1 + random() % 40;
             in += bytes.substr(at, more);
             at += more;
-            conclusion = reading.read(in, false, {"first", false, false});
+            readResult = reading.read(in, false, {"first", false, false});
         }
-        if (!conclusion) conclusion = reading.read(in, true, {"first", false, false});
-        if (!conclusion || !conclusion->response) continue;
-        const bool passes = conclusion->outcome == AttemptOutcome::answered ||
-                            conclusion->outcome == AttemptOutcome::serverError;
+        if (!readResult) readResult = reading.read(in, true, {"first", false, false});
+        if (!readResult || !readResult->response) continue;
+        const bool passes = readResult->outcome == AttemptOutcome::answered ||
+                            readResult->outcome == AttemptOutcome::serverError;
         if (!passes) continue;
         ++passed;
-        EXPECT_EQ(conclusion->response->head.field("X-Attempt-Id").value_or(""), "first") << "seed " << seed;
-        const auto length = conclusion->response->head.field("Content-Length");
-        if (length && !conclusion->response->bodiless) {
-            EXPECT_EQ(conclusion->response->body.size(), http::wholeNumber(*length).value_or(0))
+        EXPECT_EQ(readResult->response->head.field("X-Attempt-Id").value_or(""), "first") << "seed " << seed;
+        const auto length = readResult->response->head.field("Content-Length");
+        if (length && !readResult->response->bodiless) {
+            EXPECT_EQ(readResult->response->body.size(), http::wholeNumber(*length).value_or(0))
                 << "seed " << seed;
         }
     }
--- a/system/proxy/slots_search_test.cpp
+++ b/system/proxy/slots_search_test.cpp
@@ -19,19 +19,20 @@
     // For a long search set SLOTS_SCHEDULES=10000; SLOTS_FIRST sets the first seed.
     const int count = numberFromEnvironmentOr("SLOTS_SCHEDULES", 300),
               first = numberFromEnvironmentOr("SLOTS_FIRST", 1);
-    long ran = 0, holders = 0, strays = 0, full = 0;
+    long executed = 0, elections = 0, untracked = 0, rejected = 0;
     for (int seed = first; seed < first + count; ++seed) {
         slots::SlotSimulation world({static_cast<uint32_t>(seed)});
         EXPECT_EQ(world.run(), "");
-        ran += world.executedCount(), holders += world.electionCount(), strays += world.untrackedCount(),
-            full += world.rejectedCount();
+        executed += world.executedCount(), elections += world.electionCount(),
+            untracked += world.untrackedCount(), rejected += world.rejectedCount();
     }
-    std::printf("%d schedules: %ld calls ran, %ld turned away, %ld holders, %ld times a sender unknown\n",
-                count, ran, full, holders, strays);
+    std::printf(
+        "%d schedules: %ld calls executed, %ld rejected as full, %ld elections, %ld untracked senders\n",
+        count, executed, rejected, elections, untracked);
     // The search is only meaningful if the schedules exercise enough events.
-    EXPECT_GT(ran, count * 100);
-    EXPECT_GT(holders, count * 3);
-    EXPECT_GT(strays, count);
+    EXPECT_GT(executed, count * 100);
+    EXPECT_GT(elections, count * 3);
+    EXPECT_GT(untracked, count);
 }
 
 int firstSeedThatFails(slots::Defect defect, int most) {
@@ -57,7 +58,7 @@
 // Traces one instance in one schedule, e.g. SLOTS_SEED=69 SLOTS_FOLLOW=i2.
 TEST(SlotsSearch, OneSchedule) {
     const int seed = numberFromEnvironmentOr("SLOTS_SEED", 0);
-    if (seed == 0) GTEST_SKIP() << "for a closer look: SLOTS_SEED, SLOTS_FOLLOW";
+    if (seed == 0) GTEST_SKIP() << "set SLOTS_SEED and SLOTS_FOLLOW to trace one schedule";
     slots::SimulationConfig plan{static_cast<uint32_t>(seed)};
     plan.tracedInstance = std::getenv("SLOTS_FOLLOW");
     EXPECT_EQ(slots::SlotSimulation(plan).run(), "");
@@ -66,7 +67,7 @@
 TEST(SlotsSearch, CountSeedsThatDetectOneDefect) {
     const int defect = numberFromEnvironmentOr("SLOTS_TWIN", 0),
               all = numberFromEnvironmentOr("SLOTS_SCHEDULES", 100);
-    if (defect == 0) GTEST_SKIP() << "for measuring: SLOTS_TWIN, SLOTS_SCHEDULES";
+    if (defect == 0) GTEST_SKIP() << "set SLOTS_TWIN and SLOTS_SCHEDULES to count detections";
     int broken = 0, first = 0;
     for (int seed = 1; seed <= all; ++seed) {
         const std::string why =
@@ -74,7 +75,8 @@
         if (why.empty()) continue;
         if (++broken == 1) first = seed, std::printf("%s\n", why.c_str());
     }
-    std::printf("defect %d: first at %d, %d of %d\n", defect, first, broken, all);
+    std::printf("defect %d: first detected by seed %d, detected by %d of %d seeds\n", defect, first, broken,
+                all);
 }
 
 }  // namespace
--- a/system/proxy/slots_sim_for_test.hpp
+++ b/system/proxy/slots_sim_for_test.hpp
@@ -70,7 +70,8 @@
         if (!broken_.empty()) return broken_;
         if (receivedWhileCalm_ < 20 || answeredWhileCalm_ < receivedWhileCalm_ * 0.8)
             return "seed " + std::to_string(config_.seed) + ": " + std::to_string(answeredWhileCalm_) +
-                   " of " + std::to_string(receivedWhileCalm_) + " requests served after all has healed";
+                   " of " + std::to_string(receivedWhileCalm_) +
+                   " requests answered after all faults were repaired";
         return {};
     }
     long executedCount() const { return executedCount_; }
@@ -125,7 +126,7 @@
                 SimulatedInstance& m = instances_[id];
                 for (const Service& each : kServices)
                     if (each.name == s.service) m.service = &each;
-                if (!m.service) return fail("a start of a service that nobody has");
+                if (!m.service) return fail("started an unknown service");
                 m.readyAt = now_ + millis(m.service->boot * (70 + below(60)) / 100);
             }
             if (chance(faultRate_ * 0.1)) status = 0;  // no response, though the start may have happened
@@ -140,14 +141,14 @@
         });
     }
     void stopInstance(size_t c, int generation, const std::string& id) {
-        trace(id, "core %zu term %lu asks for its stop", c, cores_[c].term);
+        trace(id, "core %zu term %lu requests its stop", c, cores_[c].term);
         at(millis(5 + below(60)),
            [this, c, generation, id, term = cores_[c].term, free = isExcessAllowed(id)] {
                if (term < fencingTerm_) return;
                auto m = instances_.find(id);
                if (m != instances_.end() && m->second.terminatedAt < 0) {
                    if (!m->second.runningCalls.empty() && !free && !isExcessAllowed(id))
-                       fail("stopped " + id + " at work");
+                       fail("stopped " + id + " while it executes a call");
                    terminateInstance(id);
                }
                at(millis(5 + below(60)), [this, c, generation, id] {
@@ -234,7 +235,7 @@
                         if (!core.syncedSenders.count(k)) markUntracked(k);
                 }
                 for (const auto& g : t->grants.grants)
-                    trace(g.instance, "core %zu term %lu tells %zu: %u", c, core.term, s, g.slots);
+                    trace(g.instance, "core %zu term %lu grants sender %zu: %u", c, core.term, s, g.slots);
                 for (const auto& g : t->grants.grants)
                     if (isActivePlanner(c)) senders_[s].lastTold[g.instance] = g.slots;
                 if (isActivePlanner(c) && senders_[s].unansweredSince < 0) senders_[s].unansweredSince = now_;
@@ -289,14 +290,14 @@
     }
     void announcePlanner() {
         const uint64_t term = term_;
-        const int holder = planner_;
+        const int planner = planner_;
         for (size_t k = 0; k < kCores; ++k) {
-            auto learn = [this, k, term, holder](Core& core) {
+            auto learn = [this, k, term, planner](Core& core) {
                 if (term < core.knownTerm) return;
-                core.knownTerm = term, core.knownPlanner = holder;
-                for (auto& [s, epoch] : core.linkedSenders) sendDown(k, s, epoch, {term, holder, {}, false});
+                core.knownTerm = term, core.knownPlanner = planner;
+                for (auto& [s, epoch] : core.linkedSenders) sendDown(k, s, epoch, {term, planner, {}, false});
             };
-            if (static_cast<int>(k) == holder)
+            if (static_cast<int>(k) == planner)
                 learn(cores_[k]);
             else
                 at(millis(below(200)),
@@ -343,7 +344,7 @@
     void unlinkSender(size_t c, size_t s, bool closed) {
         Core& core = cores_[c];
         core.linkedSenders.erase(s);
-        trace("", "core %zu: sender %zu gone%s", c, s, closed ? ", closed" : "");
+        trace("", "core %zu: sender %zu disconnected%s", c, s, closed ? ", closed" : "");
         if (!core.planner) return;
         const bool told = closed || config_.defect == Defect::treatsSilentAsEnded;
         core.planner->unlinked(now(), std::to_string(s), told);
@@ -364,7 +365,7 @@
     // link.
     struct DownMessage {  // from a core
         uint64_t term = 0;
-        int holder = -1;
+        int planner = -1;
         scaler::Grants grants;
         bool isGrants = false;
     };
@@ -389,7 +390,7 @@
                    SimulatedLink& wire = x.links[c];
                    if (!wire.isUp || wire.epoch != epoch) return;
                    wire.lastHeardAt = now_;
-                   if (!word.isGrants) return onPlannerAnnounced(s, word.term, word.holder);
+                   if (!word.isGrants) return onPlannerAnnounced(s, word.term, word.planner);
                    if (static_cast<int>(c) == x.planner || config_.defect == Defect::acceptsStaleTerms)
                        applyGrants(s, word.grants);
                });
@@ -449,7 +450,7 @@
     void closeLink(size_t s, size_t c, bool tell) {
         SimulatedLink& w = senders_[s].links[c];
         if (!w.isUp) return;
-        trace("", "sender %zu closes to %zu, up cut %ld down cut %ld", s, c, w.upCutUntil - now_,
+        trace("", "sender %zu closes link to core %zu, up cut %ld, down cut %ld", s, c, w.upCutUntil - now_,
               w.downCutUntil - now_);
         w.isUp = false;
         const int epoch = w.epoch, life = cores_[c].incarnation;
@@ -544,7 +545,7 @@
         Sender& x = senders_[s];
         if (!x.dispatch || !x.isAgentUp || now_ < x.frozenUntil) return;
         x.isAgentUp = false, x.agentIncarnation = ++lastAgentIncarnation_;
-        trace("", "agent of %zu ends", s);
+        trace("", "agent of sender %zu ends", s);
         for (size_t c = 0; c < kCores; ++c) closeLink(s, c, true), x.links[c].isConnecting = false;
         x.term = 0, x.planner = -1, x.reportedTerm = 0, x.reportedLinked = false;
         x.dispatch->onPlannerDisconnected();
@@ -570,10 +571,10 @@
             });
         });
     }
-    void onPlannerAnnounced(size_t s, uint64_t term, int holder) {
+    void onPlannerAnnounced(size_t s, uint64_t term, int planner) {
         Sender& x = senders_[s];
-        if (term > x.term || (term == x.term && x.planner < 0 && holder >= 0)) {
-            x.term = term, x.planner = holder;
+        if (term > x.term || (term == x.term && x.planner < 0 && planner >= 0)) {
+            x.term = term, x.planner = planner;
             updateDispatchStatus(s);
         }
     }
@@ -590,7 +591,7 @@
         Sender& x = senders_[s];
         if (grants.term >= x.grantTerm) {
             for (const auto& g : grants.grants)
-                trace(g.instance, "sender %zu may use %u (out %u), term %lu", s, g.slots,
+                trace(g.instance, "sender %zu granted %u (%u in flight), term %lu", s, g.slots,
                       x.inFlight[g.instance], grants.term);
             x.grantTerm =
                 std::max(x.grantTerm, config_.defect == Defect::acceptsStaleTerms ? 0 : grants.term);
@@ -607,8 +608,10 @@
             if (auto* p = std::get_if<ProbeInstance>(&*o)) probeInstance(s, p->instance);
             if (auto* r = std::get_if<RejectRequest>(&*o)) {
                 if (isCalm_)
-                    trace("", "sender %zu refuses %lu of %s", s, r->id, requestRecords_[r->id].service);
-                if (requestRecords_[r->id].hasExecuted) fail("told that it has not run, but it has");
+                    trace("", "sender %zu rejects request %lu of %s", s, r->id,
+                          requestRecords_[r->id].service);
+                if (requestRecords_[r->id].hasExecuted)
+                    fail("rejected a request as not executed that was executed");
             }
             if (std::get_if<ForwardResponse>(&*o) && isCalm_) ++answeredWhileCalm_;
             if (auto* t = std::get_if<SendReport>(&*o)) sendReport(s, std::move(t->report));
@@ -632,14 +635,14 @@
         if (config_.defect == Defect::returnsSlotsEarly)
             for (auto& h : r.held) h.slots = x.granted[h.instance], h.busy = std::min(h.busy, h.slots);
         for (const auto& h : r.held)
-            trace(h.instance, "sender %zu reports%s %u held %u busy, term %lu", s, r.whole ? " whole" : "",
+            trace(h.instance, "sender %zu reports%s %u held %u busy, term %lu", s, r.whole ? " full" : "",
                   h.slots, h.busy, r.term);
         sendUp(s, c, [this, s, c, r = std::move(r)](Core& core) {
             if (!core.planner) return;
             for (const auto& h : r.held)
-                trace(h.instance, "core %zu hears of %zu%s %u held %u busy, term %lu", c, s,
-                      r.whole ? " whole" : "", h.slots, h.busy, r.term);
-            if (r.whole) trace("", "core %zu hears whole of %zu term %lu", c, s, r.term);
+                trace(h.instance, "core %zu receives from sender %zu%s %u held %u busy, term %lu", c, s,
+                      r.whole ? " full" : "", h.slots, h.busy, r.term);
+            if (r.whole) trace("", "core %zu receives full report of sender %zu, term %lu", c, s, r.term);
             core.planner->reported(now(), std::to_string(s), r);
             if (r.whole && r.term == core.term) core.syncedSenders.insert(s);
             if (isActivePlanner(c) && r.term == term_) onSenderAnswered(s);
@@ -663,13 +666,13 @@
     void startCall(size_t s, const SendRequest& to) {
         Sender& x = senders_[s];
         const InstanceInfo* v = x.dispatch->findInstance(to.instance);
-        if (!v) return fail("sent nowhere");
+        if (!v) return fail("sent to an unknown instance");
         const uint64_t id = ++lastCallId_;
         calls_[id] = {s, x.incarnation, to.id, v->id};
         ++x.inFlight[v->id];
-        const RequestRecord& ask = requestRecords_[to.id];
-        const Instant gaveUp = to.attemptTimeout > Span() ? now() + to.attemptTimeout : ask.deadline;
-        at(std::max<int64_t>(1, gaveUp.inMicros() - now_), [this, id] {
+        const RequestRecord& record = requestRecords_[to.id];
+        const Instant timeoutAt = to.attemptTimeout > Span() ? now() + to.attemptTimeout : record.deadline;
+        at(std::max<int64_t>(1, timeoutAt.inMicros() - now_), [this, id] {
             auto found = calls_.find(id);
             if (found == calls_.end() || found->second.isFinished) return;
             if (now_ < senders_[found->second.sender].frozenUntil) return;  // not while it is suspended
@@ -688,17 +691,18 @@
         SimulatedInstance& machine = m->second;
         if (static_cast<int>(machine.runningCalls.size()) >= machine.service->slots) {
             ++rejectedCount_;
-            trace(call.instance, "call %lu of %zu is turned away", id, call.sender);
+            trace(call.instance, "call %lu of sender %zu is rejected as full", id, call.sender);
             if (isCalm_ || !isExcessAllowed(call.instance))
-                fail(call.instance + " was sent more than its slots");
+                fail(call.instance + " was sent more calls than it has slots");
             return endCall(id, AttemptOutcome::notExecuted, 500 + below(8000));
         }
-        RequestRecord& ask = requestRecords_[call.request];
-        if (ask.isNonIdempotent && ask.hasExecuted) fail("a once-only request ran twice");
-        ask.hasExecuted = true;
+        RequestRecord& record = requestRecords_[call.request];
+        if (record.isNonIdempotent && record.hasExecuted) fail("a non-idempotent request was executed twice");
+        record.hasExecuted = true;
         ++executedCount_;
         machine.runningCalls.insert(id);
-        trace(call.instance, "call %lu of %zu runs, %zu", id, call.sender, machine.runningCalls.size());
+        trace(call.instance, "call %lu of sender %zu runs, %zu running", id, call.sender,
+              machine.runningCalls.size());
         const int64_t work = millis(5 + below(chance(0.1) ? 1200 : 150));
         at(work, [this, id, work] {
             removeCallFromInstance(id);
@@ -717,7 +721,7 @@
         if (found == calls_.end()) return;
         auto m = instances_.find(found->second.instance);
         if (m != instances_.end() && m->second.runningCalls.erase(id) > 0)
-            trace(found->second.instance, "call %lu of %zu done", id, found->second.sender);
+            trace(found->second.instance, "call %lu of sender %zu done", id, found->second.sender);
     }
     void endCall(uint64_t id, AttemptOutcome how, int64_t delay) {
         at(delay, [this, id, how] {
@@ -748,9 +752,9 @@
                               now() + left,
                               Span::millis(400),
                               left};
-            RequestRecord& ask = requestRecords_[id];
-            ask.isNonIdempotent = !a.isIdempotent, ask.deadline = a.deadline;
-            ask.service = a.service == "f" ? "f" : "g";
+            RequestRecord& record = requestRecords_[id];
+            record.isNonIdempotent = !a.isIdempotent, record.deadline = a.deadline;
+            record.service = a.service == "f" ? "f" : "g";
             if (isCalm_) ++receivedWhileCalm_;
             x.dispatch->onRequest(now(), a);
             drainDispatch(s);
@@ -787,7 +791,7 @@
         Sender& x = senders_[s];
         if (!x.dispatch || x.isUntracked) return;
         x.isUntracked = true;
-        trace("", "sender %zu is a stray", s);
+        trace("", "sender %zu is untracked", s);
         ++untrackedCount_;
     }
     void onSenderSynced(size_t s) {
@@ -798,7 +802,7 @@
         x.lastTold.clear(), x.reassignable.clear();
         if (!x.isUntracked) return;
         x.isUntracked = false;
-        trace("", "sender %zu is known again", s);
+        trace("", "sender %zu is tracked again", s);
         markOversubscribed(x);
     }
     static uint32_t slotsInUse(const Sender& x, const std::string& id) {
@@ -881,7 +885,7 @@
         Sender& x = senders_[s];
         if (!x.dispatch || now_ < x.frozenUntil) return;
         x.frozenUntil = now_ + lasts;
-        trace("", "sender %zu sleeps %ld", s, lasts);
+        trace("", "sender %zu is suspended for %ld", s, lasts);
         // Attempts whose deadline passed while the sender was suspended end when it resumes.
         at(lasts + 1, [this, s, life = x.incarnation] {
             if (senders_[s].incarnation != life) return;
