--- a/system/proxy/slots_sim_for_test.hpp
+++ b/system/proxy/slots_sim_for_test.hpp
@@ -1,14 +1,14 @@
-// The whole of slots in simulated time: planners at cores between which the duty moves, senders with their
-// real dispatch, instances that turn away what is over their slots. Seeded, with all that may go wrong, and a
-// judge.
+// Simulates slot assignment in simulated time: planners in control-plane members ("cores") between which the
+// planner role moves, senders (an agent and its proxy's real Dispatch), and instances that reject calls
+// beyond their slots. Schedules are seeded, inject faults, and are checked against an invariant.
 //
-// The invariant: no instance is sent more than its slots by senders of which the holder knows. Not counted is
-// what a sender of which it can't know still uses (`stray`): one that the holder has heard nothing of for
-// longer than the planner's word says (0.6 s where it was told something), one that is not there when another
-// takes the duty over, one whose agent ended while its proxy lives. An instance that a stray uses is looked
-// at again once the stray has told all it holds and what is too much there was given back. No once-only
-// request runs twice; who is told that a request has not run is told the truth; no instance is stopped at
-// work.
+// Invariant: the senders that the planner knows never send an instance more calls than it has slots. Slots
+// used by an untracked sender do not count, as the planner cannot know of them. A sender is untracked when
+// the planner has not heard from it for longer than its silence limit (0.6 s for a sender that was told
+// something), when it is not connected as another planner takes over, or when its agent ended while its proxy
+// lives. An instance used by an untracked sender is checked again once that sender has sent a full report and
+// the excess was returned. In addition, no non-idempotent request executes twice, no request is reported as
+// not executed after it was executed, and no instance is stopped while it executes a call.
 #pragma once
 
 #include <array>
@@ -27,20 +27,20 @@
 
 namespace petrelpond::proxy::slots {
 
-// Broken on purpose; each has to be found.
+// Deliberate defects; the search has to detect each of them.
 enum class Defect : uint8_t {
     none,
-    returnsSlotsEarly,    // a slot counts as given back while its call still runs
-    grantsBeforeReports,  // a new holder does not wait for what the senders hold
-    acceptsStaleTerms,    // grants of a lower term are taken
-    treatsSilentAsEnded,  // a sender that is merely silent counts as ended
+    returnsSlotsEarly,    // reports a slot as returned while its call still runs
+    grantsBeforeReports,  // a new planner does not wait for the senders' full reports
+    acceptsStaleTerms,    // grants of a lower term are applied
+    treatsSilentAsEnded,  // a sender that is only silent is treated as ended
 };
 
 struct SimulationConfig {
     uint32_t seed = 1;
     Defect defect = Defect::none;
-    double seconds = 30;                   // of faults; then all heals
-    const char* tracedInstance = nullptr;  // an instance of which all is printed
+    double seconds = 30;                   // duration of fault injection; then all faults are repaired
+    const char* tracedInstance = nullptr;  // prints all events of this instance
 };
 
 class SlotSimulation : public simulation::Simulation {
@@ -70,13 +70,14 @@
         if (!broken_.empty()) return broken_;
         if (receivedWhileCalm_ < 20 || answeredWhileCalm_ < receivedWhileCalm_ * 0.8)
             return "seed " + std::to_string(config_.seed) + ": " + std::to_string(answeredWhileCalm_) +
-                   " of " + std::to_string(receivedWhileCalm_) + " requests served after all has healed";
+                   " of " + std::to_string(receivedWhileCalm_) +
+                   " requests answered after all faults were repaired";
         return {};
     }
     long executedCount() const { return executedCount_; }
     long rejectedCount() const {
         return rejectedCount_;
-    }  // turned away, all of them at instances that a stray used
+    }  // calls rejected as full, all at instances used by an untracked sender
     long electionCount() const { return electionCount_; }
     long untrackedCount() const { return untrackedCount_; }
 
@@ -90,7 +91,7 @@
         std::printf(form, parts...);
         std::printf("\n");
     }
-    // ---- the platform: instances
+    // ---- Platform: instances
     struct Service {
         const char* name;
         int slots, boot, target;
@@ -100,7 +101,7 @@
         const Service* service = nullptr;
         int64_t readyAt = 0, terminatedAt = -1;
         bool draining = false;
-        std::set<uint64_t> runningCalls;  // calls
+        std::set<uint64_t> runningCalls;  // ids of calls
     };
     struct Call {
         size_t sender = 0;
@@ -114,7 +115,7 @@
             std::string id;
             int status = 200;
             if (term < fencingTerm_)
-                status = 403;  // the platform's fence
+                status = 403;  // the platform's fencing of stale terms
             else if (chance(faultRate_ * 0.1))
                 status = 409;
             auto before = instanceByNonce_.find(s.nonce);
@@ -125,10 +126,10 @@
                 SimulatedInstance& m = instances_[id];
                 for (const Service& each : kServices)
                     if (each.name == s.service) m.service = &each;
-                if (!m.service) return fail("a start of a service that nobody has");
+                if (!m.service) return fail("started an unknown service");
                 m.readyAt = now_ + millis(m.service->boot * (70 + below(60)) / 100);
             }
-            if (chance(faultRate_ * 0.1)) status = 0;  // no answer, though it may have happened
+            if (chance(faultRate_ * 0.1)) status = 0;  // no response, though the start may have happened
             at(millis(5 + below(60)), [this, c, generation, s, id, status] {
                 callPlanner(c, generation, [s, id, status](scaler::Planner& p, Instant now) {
                     if (status == 200)
@@ -140,14 +141,14 @@
         });
     }
     void stopInstance(size_t c, int generation, const std::string& id) {
-        trace(id, "core %zu term %lu asks for its stop", c, cores_[c].term);
+        trace(id, "core %zu term %lu requests its stop", c, cores_[c].term);
         at(millis(5 + below(60)),
            [this, c, generation, id, term = cores_[c].term, free = isExcessAllowed(id)] {
                if (term < fencingTerm_) return;
                auto m = instances_.find(id);
                if (m != instances_.end() && m->second.terminatedAt < 0) {
                    if (!m->second.runningCalls.empty() && !free && !isExcessAllowed(id))
-                       fail("stopped " + id + " at work");
+                       fail("stopped " + id + " while it executes a call");
                    terminateInstance(id);
                }
                at(millis(5 + below(60)), [this, c, generation, id] {
@@ -180,26 +181,26 @@
         at(millis(600), [this, c, generation] { pollInstanceList(c, generation); });
     }
 
-    // ---- cores and the duty
+    // ---- Cores and the planner role
     struct Core {
         std::unique_ptr<scaler::Planner> planner;
         int generation = 0, incarnation = 0;
         bool isUp = true;
-        uint64_t term = 0;  // of its planner
+        uint64_t term = 0;  // its planner's
         uint64_t knownTerm = 0;
         int knownPlanner = -1;
         int64_t frozenUntil = 0, wakeScheduledFor = -1;
-        std::map<size_t, int> linkedSenders;  // sender: epoch of its link
+        std::map<size_t, int> linkedSenders;  // link epoch by sender
         std::map<size_t, int> agentIncarnations;
         std::map<size_t, int64_t> lastHeardAt;
-        bool hasGranted = false, isBeingReplaced = false;  // losing: somebody else will be voted for
-        std::set<size_t> syncedSenders;                    // senders that told its planner all that they hold
+        bool hasGranted = false, isBeingReplaced = false;  // isBeingReplaced: another core will be elected
+        std::set<size_t> syncedSenders;                    // senders that sent this planner a full report
     };
-    // How the planner of the present holder stands to a sender.
+    // What the current planner knows of a sender.
     struct SenderStatus {
         bool isLinked = false, isSynced = false;
-        int64_t expiresAt = -1;  // when it counts as gone
-        bool hasEnded = false;   // its slots are only kept for a moment, whether it is linked again or not
+        int64_t expiresAt = -1;  // when the sender's slots are released
+        bool hasEnded = false;   // its slots are released shortly, whether or not it connects again
     };
     void runInCore(size_t c, int life, std::function<void(Core&)> f) {
         Core& core = cores_[c];
@@ -229,12 +230,13 @@
                 bool gives = false;
                 for (const auto& g : t->grants.grants) gives |= g.slots > 0;
                 if (gives && !core.hasGranted) {
-                    core.hasGranted = true;  // it has listened: whom it has not heard by now it does not know
+                    core.hasGranted = true;  // its waiting period is over: senders that have not reported by
+                                             // now are unknown to it
                     for (size_t k = 0; k < senders_.size(); ++k)
                         if (!core.syncedSenders.count(k)) markUntracked(k);
                 }
                 for (const auto& g : t->grants.grants)
-                    trace(g.instance, "core %zu term %lu tells %zu: %u", c, core.term, s, g.slots);
+                    trace(g.instance, "core %zu term %lu grants sender %zu: %u", c, core.term, s, g.slots);
                 for (const auto& g : t->grants.grants)
                     if (isActivePlanner(c)) senders_[s].lastTold[g.instance] = g.slots;
                 if (isActivePlanner(c) && senders_[s].unansweredSince < 0) senders_[s].unansweredSince = now_;
@@ -289,21 +291,21 @@
     }
     void announcePlanner() {
         const uint64_t term = term_;
-        const int holder = planner_;
+        const int planner = planner_;
         for (size_t k = 0; k < kCores; ++k) {
-            auto learn = [this, k, term, holder](Core& core) {
+            auto learn = [this, k, term, planner](Core& core) {
                 if (term < core.knownTerm) return;
-                core.knownTerm = term, core.knownPlanner = holder;
-                for (auto& [s, epoch] : core.linkedSenders) sendDown(k, s, epoch, {term, holder, {}, false});
+                core.knownTerm = term, core.knownPlanner = planner;
+                for (auto& [s, epoch] : core.linkedSenders) sendDown(k, s, epoch, {term, planner, {}, false});
             };
-            if (static_cast<int>(k) == holder)
+            if (static_cast<int>(k) == planner)
                 learn(cores_[k]);
             else
                 at(millis(below(200)),
                    [this, k, life = cores_[k].incarnation, learn] { runInCore(k, life, learn); });
         }
     }
-    void sendHeartbeats(size_t c) {  // and the core's own turn: silent agents
+    void sendHeartbeats(size_t c) {  // also disconnects senders whose agent is silent
         runInCore(c, cores_[c].incarnation, [this, c](Core& core) {
             for (auto& [s, epoch] : core.linkedSenders)
                 sendDown(c, s, epoch, {core.knownTerm, core.knownPlanner, {}, false});
@@ -314,7 +316,7 @@
         });
         at(millis(250), [this, c] { sendHeartbeats(c); });
     }
-    void stopPlanner(size_t c) {  // it learns that it holds no more
+    void stopPlanner(size_t c) {  // the core learns that it is not the planner any more
         Core& core = cores_[c];
         core.planner.reset();
         ++core.generation;
@@ -343,7 +345,7 @@
     void unlinkSender(size_t c, size_t s, bool closed) {
         Core& core = cores_[c];
         core.linkedSenders.erase(s);
-        trace("", "core %zu: sender %zu gone%s", c, s, closed ? ", closed" : "");
+        trace("", "core %zu: sender %zu disconnected%s", c, s, closed ? ", closed" : "");
         if (!core.planner) return;
         const bool told = closed || config_.defect == Defect::treatsSilentAsEnded;
         core.planner->onSenderUnlinked(now(), std::to_string(s), told);
@@ -360,17 +362,18 @@
         drainPlanner(c);
     }
 
-    // ---- links. Each is ordered; a cut delays what is under way, and ends it once a side gives the link up.
-    struct DownMessage {  // of a core
+    // ---- Links. Each is ordered. A cut delays messages in transit and drops them once one side closes the
+    // link.
+    struct DownMessage {  // from a core
         uint64_t term = 0;
-        int holder = -1;
+        int planner = -1;
         scaler::Grants grants;
         bool isGrants = false;
     };
     struct SimulatedLink {
         int epoch = 0;
         bool isUp = false, isConnecting = false;
-        int64_t upCutUntil = 0, downCutUntil = 0;  // until when
+        int64_t upCutUntil = 0, downCutUntil = 0;  // end of the cut
         int64_t lastUpArrival = 0, lastDownArrival = 0, lastHeardAt = 0, reconnectDelay = 100000;
     };
     int64_t nextArrivalDelay(int64_t& last, int64_t cut) {
@@ -388,7 +391,7 @@
                    SimulatedLink& wire = x.links[c];
                    if (!wire.isUp || wire.epoch != epoch) return;
                    wire.lastHeardAt = now_;
-                   if (!word.isGrants) return onPlannerAnnounced(s, word.term, word.holder);
+                   if (!word.isGrants) return onPlannerAnnounced(s, word.term, word.planner);
                    if (static_cast<int>(c) == x.planner || config_.defect == Defect::acceptsStaleTerms)
                        applyGrants(s, word.grants);
                });
@@ -444,11 +447,11 @@
             });
         });
     }
-    // The agent gives the link up, or its end is seen. Its last packet, if any, tells the core.
+    // The agent closes the link, or its end is noticed. Its last packet, if any, tells the core.
     void closeLink(size_t s, size_t c, bool tell) {
         SimulatedLink& w = senders_[s].links[c];
         if (!w.isUp) return;
-        trace("", "sender %zu closes to %zu, up cut %ld down cut %ld", s, c, w.upCutUntil - now_,
+        trace("", "sender %zu closes link to core %zu, up cut %ld, down cut %ld", s, c, w.upCutUntil - now_,
               w.downCutUntil - now_);
         w.isUp = false;
         const int epoch = w.epoch, life = cores_[c].incarnation;
@@ -462,7 +465,7 @@
         }
     }
 
-    // ---- senders: agent and proxy
+    // ---- Senders: agent and proxy
     struct Sender {
         std::unique_ptr<Dispatch> dispatch;
         int incarnation = 0, agentIncarnation = 0;
@@ -475,10 +478,10 @@
         uint64_t grantTerm = 0;
         std::array<SimulatedLink, kCores> links;
         std::map<std::string, uint32_t> granted, lastTold,
-            inFlight;  // as granted, as told last by the holder; calls out
+            inFlight;  // slots as granted and as last sent by the planner; calls in flight
         bool isUntracked = false;
-        std::set<std::string> reassignable;  // instances where it was late to give back
-        int64_t unansweredSince = -1;  // since when the holder has told it something and had no word of its
+        std::set<std::string> reassignable;  // instances whose slots it was too late to return
+        int64_t unansweredSince = -1;        // since when the planner has sent it something without an answer
         double rate = 5;
     };
     struct RequestRecord {
@@ -522,15 +525,15 @@
         trace("", "sender %zu killed%s", s, power ? ", power" : "");
         ++x.incarnation;
         for (size_t c = 0; c < kCores; ++c) closeLink(s, c, !power), x.links[c].isConnecting = false;
-        for (auto& [id, call] : calls_) {  // instances drop the work of connections that end
+        for (auto& [id, call] : calls_) {  // instances drop the calls of closed connections
             if (call.sender != s || call.isFinished) continue;
             call.isFinished = true;
             at(power ? millis(below(1500)) : millis(below(200)),
                [this, id = id] { removeCallFromInstance(id); });
         }
-        // What it had out is still there for a moment; the holder knows of it only if it was told. Without
-        // power no connection was reset, so instances work on it longer than an ended sender's slots are
-        // kept.
+        // Its calls in flight run on for a moment, and the planner knows of them only if it was told. After a
+        // power loss no connection is reset, so instances execute them for longer than the slots of an ended
+        // sender are reserved.
         if (x.isUntracked || power || !senderStatuses_[s].isSynced || x.unansweredSince >= 0 ||
             !x.reassignable.empty())
             for (auto& [id, n] : x.inFlight)
@@ -539,11 +542,11 @@
             x.isUntracked = false, x.unansweredSince = -1;
         at(millis(300 + below(3000)), [this, s] { startSender(s); });
     }
-    void killAgent(size_t s) {  // alone: the proxy goes on with what it holds
+    void killAgent(size_t s) {  // the agent alone: its proxy continues with the slots it holds
         Sender& x = senders_[s];
         if (!x.dispatch || !x.isAgentUp || now_ < x.frozenUntil) return;
         x.isAgentUp = false, x.agentIncarnation = ++lastAgentIncarnation_;
-        trace("", "agent of %zu ends", s);
+        trace("", "agent of sender %zu ends", s);
         for (size_t c = 0; c < kCores; ++c) closeLink(s, c, true), x.links[c].isConnecting = false;
         x.term = 0, x.planner = -1, x.reportedTerm = 0, x.reportedLinked = false;
         x.dispatch->onPlannerDisconnected();
@@ -569,10 +572,10 @@
             });
         });
     }
-    void onPlannerAnnounced(size_t s, uint64_t term, int holder) {
+    void onPlannerAnnounced(size_t s, uint64_t term, int planner) {
         Sender& x = senders_[s];
-        if (term > x.term || (term == x.term && x.planner < 0 && holder >= 0)) {
-            x.term = term, x.planner = holder;
+        if (term > x.term || (term == x.term && x.planner < 0 && planner >= 0)) {
+            x.term = term, x.planner = planner;
             updateDispatchStatus(s);
         }
     }
@@ -589,7 +592,7 @@
         Sender& x = senders_[s];
         if (grants.term >= x.grantTerm) {
             for (const auto& g : grants.grants)
-                trace(g.instance, "sender %zu may use %u (out %u), term %lu", s, g.slots,
+                trace(g.instance, "sender %zu granted %u (%u in flight), term %lu", s, g.slots,
                       x.inFlight[g.instance], grants.term);
             x.grantTerm =
                 std::max(x.grantTerm, config_.defect == Defect::acceptsStaleTerms ? 0 : grants.term);
@@ -606,8 +609,10 @@
             if (auto* p = std::get_if<ProbeInstance>(&*o)) probeInstance(s, p->instance);
             if (auto* r = std::get_if<RejectRequest>(&*o)) {
                 if (isCalm_)
-                    trace("", "sender %zu refuses %lu of %s", s, r->id, requestRecords_[r->id].service);
-                if (requestRecords_[r->id].hasExecuted) fail("told that it has not run, but it has");
+                    trace("", "sender %zu rejects request %lu of %s", s, r->id,
+                          requestRecords_[r->id].service);
+                if (requestRecords_[r->id].hasExecuted)
+                    fail("rejected a request as not executed that was executed");
             }
             if (std::get_if<ForwardResponse>(&*o) && isCalm_) ++answeredWhileCalm_;
             if (auto* t = std::get_if<SendReport>(&*o)) sendReport(s, std::move(t->report));
@@ -631,14 +636,14 @@
         if (config_.defect == Defect::returnsSlotsEarly)
             for (auto& h : r.held) h.slots = x.granted[h.instance], h.busy = std::min(h.busy, h.slots);
         for (const auto& h : r.held)
-            trace(h.instance, "sender %zu reports%s %u held %u busy, term %lu", s, r.isFull ? " whole" : "",
+            trace(h.instance, "sender %zu reports%s %u held %u busy, term %lu", s, r.isFull ? " full" : "",
                   h.slots, h.busy, r.term);
         sendUp(s, c, [this, s, c, r = std::move(r)](Core& core) {
             if (!core.planner) return;
             for (const auto& h : r.held)
-                trace(h.instance, "core %zu hears of %zu%s %u held %u busy, term %lu", c, s,
-                      r.isFull ? " whole" : "", h.slots, h.busy, r.term);
-            if (r.isFull) trace("", "core %zu hears whole of %zu term %lu", c, s, r.term);
+                trace(h.instance, "core %zu receives from sender %zu%s %u held %u busy, term %lu", c, s,
+                      r.isFull ? " full" : "", h.slots, h.busy, r.term);
+            if (r.isFull) trace("", "core %zu receives full report of sender %zu, term %lu", c, s, r.term);
             core.planner->onReport(now(), std::to_string(s), r);
             if (r.isFull && r.term == core.term) core.syncedSenders.insert(s);
             if (isActivePlanner(c) && r.term == term_) onSenderAnswered(s);
@@ -662,16 +667,16 @@
     void startCall(size_t s, const SendRequest& to) {
         Sender& x = senders_[s];
         const InstanceInfo* v = x.dispatch->findInstance(to.instance);
-        if (!v) return fail("sent nowhere");
+        if (!v) return fail("sent to an unknown instance");
         const uint64_t id = ++lastCallId_;
         calls_[id] = {s, x.incarnation, to.id, v->id};
         ++x.inFlight[v->id];
-        const RequestRecord& ask = requestRecords_[to.id];
-        const Instant gaveUp = to.attemptTimeout > Span() ? now() + to.attemptTimeout : ask.deadline;
-        at(std::max<int64_t>(1, gaveUp.inMicros() - now_), [this, id] {
+        const RequestRecord& record = requestRecords_[to.id];
+        const Instant timeoutAt = to.attemptTimeout > Span() ? now() + to.attemptTimeout : record.deadline;
+        at(std::max<int64_t>(1, timeoutAt.inMicros() - now_), [this, id] {
             auto found = calls_.find(id);
             if (found == calls_.end() || found->second.isFinished) return;
-            if (now_ < senders_[found->second.sender].frozenUntil) return;  // not while it sleeps
+            if (now_ < senders_[found->second.sender].frozenUntil) return;  // not while it is suspended
             removeCallFromInstance(id);
             endCall(id, AttemptOutcome::timedOut, 0);
         });
@@ -687,21 +692,22 @@
         SimulatedInstance& machine = m->second;
         if (static_cast<int>(machine.runningCalls.size()) >= machine.service->slots) {
             ++rejectedCount_;
-            trace(call.instance, "call %lu of %zu is turned away", id, call.sender);
+            trace(call.instance, "call %lu of sender %zu is rejected as full", id, call.sender);
             if (isCalm_ || !isExcessAllowed(call.instance))
-                fail(call.instance + " was sent more than its slots");
+                fail(call.instance + " was sent more calls than it has slots");
             return endCall(id, AttemptOutcome::notExecuted, 500 + below(8000));
         }
-        RequestRecord& ask = requestRecords_[call.request];
-        if (ask.isNonIdempotent && ask.hasExecuted) fail("a once-only request ran twice");
-        ask.hasExecuted = true;
+        RequestRecord& record = requestRecords_[call.request];
+        if (record.isNonIdempotent && record.hasExecuted) fail("a non-idempotent request was executed twice");
+        record.hasExecuted = true;
         ++executedCount_;
         machine.runningCalls.insert(id);
-        trace(call.instance, "call %lu of %zu runs, %zu", id, call.sender, machine.runningCalls.size());
+        trace(call.instance, "call %lu of sender %zu runs, %zu running", id, call.sender,
+              machine.runningCalls.size());
         const int64_t work = millis(5 + below(chance(0.1) ? 1200 : 150));
         at(work, [this, id, work] {
             removeCallFromInstance(id);
-            const bool lost = chance(faultRate_ * 0.05);  // the answer; the connection stays silent
+            const bool lost = chance(faultRate_ * 0.05);  // the response is lost; the connection stays open
             if (lost) return;
             const bool bad = chance(faultRate_ * 0.1);
             endCall(id,
@@ -716,7 +722,7 @@
         if (found == calls_.end()) return;
         auto m = instances_.find(found->second.instance);
         if (m != instances_.end() && m->second.runningCalls.erase(id) > 0)
-            trace(found->second.instance, "call %lu of %zu done", id, found->second.sender);
+            trace(found->second.instance, "call %lu of sender %zu done", id, found->second.sender);
     }
     void endCall(uint64_t id, AttemptOutcome how, int64_t delay) {
         at(delay, [this, id, how] {
@@ -747,9 +753,9 @@
                               now() + left,
                               Span::millis(400),
                               left};
-            RequestRecord& ask = requestRecords_[id];
-            ask.isNonIdempotent = !a.isIdempotent, ask.deadline = a.deadline;
-            ask.service = a.service == "f" ? "f" : "g";
+            RequestRecord& record = requestRecords_[id];
+            record.isNonIdempotent = !a.isIdempotent, record.deadline = a.deadline;
+            record.service = a.service == "f" ? "f" : "g";
             if (isCalm_) ++receivedWhileCalm_;
             x.dispatch->onRequest(now(), a);
             drainDispatch(s);
@@ -759,8 +765,9 @@
            [this, s] { generateRequests(s); });
     }
 
-    // ---- who is known, and what that excuses
-    // One that says nothing though it was told something may have idle slots that were asked back passed on.
+    // ---- Which senders are tracked, and which excess this allows
+    //
+    // If a sender that was told something does not answer, its revoked idle slots may be given to others.
     static constexpr int64_t kUnansweredLimitUs = 590000;
     bool isUnansweredTooLong(const Sender& x) const {
         return x.unansweredSince >= 0 && now_ - x.unansweredSince >= kUnansweredLimitUs;
@@ -772,7 +779,7 @@
                 if (usesMoreThanTold(x, id)) x.reassignable.insert(id);
         x.unansweredSince = -1;
     }
-    // It may still use what the holder has asked back.
+    // Whether it may still use slots that the planner has revoked.
     static bool usesMoreThanTold(const Sender& x, const std::string& id) {
         auto told = x.lastTold.find(id);
         return told != x.lastTold.end() && slotsInUse(x, id) > told->second;
@@ -785,7 +792,7 @@
         Sender& x = senders_[s];
         if (!x.dispatch || x.isUntracked) return;
         x.isUntracked = true;
-        trace("", "sender %zu is a stray", s);
+        trace("", "sender %zu is untracked", s);
         ++untrackedCount_;
     }
     void onSenderSynced(size_t s) {
@@ -796,7 +803,7 @@
         x.lastTold.clear(), x.reassignable.clear();
         if (!x.isUntracked) return;
         x.isUntracked = false;
-        trace("", "sender %zu is known again", s);
+        trace("", "sender %zu is tracked again", s);
         markOversubscribed(x);
     }
     static uint32_t slotsInUse(const Sender& x, const std::string& id) {
@@ -805,7 +812,7 @@
             if (auto found = each->find(id); found != each->end()) most = std::max(most, found->second);
         return most;
     }
-    // What was given twice is over once all that may be used fits again.
+    // An oversubscription ends once all slots that may be used fit into the instance again.
     void clearOversubscriptionIfResolved(const std::string& id) {
         if (oversubscribed_.empty() || !oversubscribed_.count(id)) return;
         uint32_t sum = 0;
@@ -830,7 +837,7 @@
         return false;
     }
 
-    // ---- troubles
+    // ---- Faults
     size_t anyCore() { return static_cast<size_t>(below(kCores)); }
     size_t anySender() { return static_cast<size_t>(below(static_cast<int64_t>(senders_.size()))); }
     void scheduleElection(int64_t from, int64_t to) {
@@ -879,8 +886,8 @@
         Sender& x = senders_[s];
         if (!x.dispatch || now_ < x.frozenUntil) return;
         x.frozenUntil = now_ + lasts;
-        trace("", "sender %zu sleeps %ld", s, lasts);
-        // What it gives up on waking: calls whose time passed while it slept.
+        trace("", "sender %zu is suspended for %ld", s, lasts);
+        // Attempts whose deadline passed while the sender was suspended end when it resumes.
         at(lasts + 1, [this, s, life = x.incarnation] {
             if (senders_[s].incarnation != life) return;
             std::vector<uint64_t> late;
@@ -896,7 +903,7 @@
         Core& core = cores_[c];
         if (!isActivePlanner(c) || !core.planner || core.isBeingReplaced || now_ < core.frozenUntil) return;
         switch (below(5)) {
-            case 0: {  // it ends
+            case 0: {  // the core ends
                 ++core.incarnation;
                 stopPlanner(c);
                 core.isUp = false;
@@ -907,7 +914,8 @@
                 break;
             }
             case 1:
-            case 2: {  // it sleeps, and acts by what it knew before it sees that it holds no more
+            case 2: {  // the core is suspended, and acts on outdated knowledge before it learns that it is
+                       // not the planner
                 const int64_t lasts = millis(chance(0.6) ? 700 + below(1500) : below(6000));
                 core.frozenUntil = now_ + lasts;
                 if (lasts < millis(700)) break;
@@ -922,7 +930,7 @@
                 });
                 break;
             }
-            case 3:  // it is not heard by a majority
+            case 3:  // the core loses its majority
                 stopPlanner(c);
                 scheduleElection(20, 600);
                 break;
@@ -962,8 +970,8 @@
     std::map<RequestId, RequestRecord> requestRecords_;
     uint64_t lastCallId_ = 0;
     RequestId lastRequestId_ = 0;
-    std::set<std::string>
-        oversubscribed_;  // instances where more may be used than there is, since a stray came back
+    std::set<std::string> oversubscribed_;  // instances of which more slots may be in use than exist, since
+                                            // an untracked sender returned
     long executedCount_ = 0, rejectedCount_ = 0, electionCount_ = 0, untrackedCount_ = 0,
          receivedWhileCalm_ = 0, answeredWhileCalm_ = 0;
 };
