--- a/system/proxy/dispatch.cpp
+++ b/system/proxy/dispatch.cpp
@@ -7,22 +7,20 @@
 
 namespace {
 
-constexpr double kDefaultCallSeconds = 0.1;      // for a request class without responses
-const Span kReportInterval = Span::millis(100);  // reports that are not urgent are batched for this long
-constexpr size_t kManyQueuedServices = 5;        // from this number on, urgent reports are batched
-const Span kCrowdedReportInterval = Span::millis(30);  // batching period of these
+constexpr double kDefaultCallSeconds = 0.1;           // for a request class without responses
+const Span kReportInterval = Span::millis(100);       // reports that are not urgent are batched for this long
+constexpr size_t kManyQueuedServices = 5;             // from this number on, urgent reports are batched
+const Span kUrgentReportInterval = Span::millis(30);  // between batched urgent reports
 const Span kDemandRepeatInterval = Span::millis(150);  // repeat interval of unmet demand
 const Span kProbeInterval = Span::millis(60);
 const Span kConnectBackoff = Span::millis(250);  // after an instance refused a connection
 const Span kDeadReportInterval = Span::millis(200);
-const Span kFirstGrantDelay = Span::millis(400);  // estimated wait for the planner's first grants
-const Span kSlotTransferDelay =
-    Span::millis(100);  // estimated transfer of a slot from another proxy: two round trips between regions
+const Span kFirstGrantDelay = Span::millis(400);    // estimated wait for the planner's first grants
+const Span kSlotTransferDelay = Span::millis(100);  // estimated; two round trips between regions
 const Span kSweepInterval = Span::millis(50);
 const Span kFormerInstanceLifetime = Span::seconds(30);  // after the last slot was returned
 constexpr size_t kMaxFormerInstances = 8;                // per service
-constexpr double kMaxQueueTimeShare =
-    0.45;  // share of its remaining time for which a request is queued before it is rejected
+constexpr double kMaxQueueTimeShare = 0.45;              // of the time to the deadline; then rejected
 
 }  // namespace
 
@@ -44,16 +42,16 @@
       wakeAt_(now), nextSweepAt_(now) {}
 
 uint32_t Dispatch::findOrAddService(const std::string& name) {
-    auto [at, fresh] = serviceByName_.try_emplace(name, static_cast<uint32_t>(services_.size()));
-    if (fresh) services_.emplace_back().spec.name = name;
+    auto [at, isNew] = serviceByName_.try_emplace(name, static_cast<uint32_t>(services_.size()));
+    if (isNew) services_.emplace_back().spec.name = name;
     return at->second;
 }
 
 uint32_t Dispatch::findOrAddRequestClass(const IncomingRequest& a) {
     std::array<int64_t, 4> key = {a.isIdempotent, a.priority, a.targetLatency.inMicros(),
                                   a.routeTimeout.inMicros()};
-    auto [at, fresh] = requestClassByKey_.try_emplace(key, static_cast<uint32_t>(requestClasses_.size()));
-    if (fresh) requestClasses_.emplace_back();
+    auto [at, isNew] = requestClassByKey_.try_emplace(key, static_cast<uint32_t>(requestClasses_.size()));
+    if (isNew) requestClasses_.emplace_back();
     return at->second;
 }
 
@@ -106,8 +104,8 @@
             }
             const uint32_t service = findOrAddService(g.service);
             forgetFormerInstance(services_[service], g.instance);
-            const InstanceIndex ix = addInstance(now, {g.instance, g.address, g.zone}, service);
-            Instance& made = *instances_[ix];
+            const InstanceIndex index = addInstance(now, {g.instance, g.address, g.zone}, service);
+            Instance& made = *instances_[index];
             made.isReady = g.upInMs == 0;
             made.expectedReadyAt = now + Span::millis(g.upInMs);
             // Boot times vary by a third or more, so probing starts at 60 % of the estimate.
@@ -136,19 +134,19 @@
     affectedServices.erase(std::unique(affectedServices.begin(), affectedServices.end()),
                            affectedServices.end());
     for (uint32_t s : affectedServices) dispatchQueued(now, s);
-    for (InstanceIndex ix = 0; ix < instances_.size(); ++ix) {
-        Instance* i = instances_[ix].get();
-        if (i && i->slots == 0 && i->inFlight == 0) removeInstance(now, ix);
+    for (InstanceIndex index = 0; index < instances_.size(); ++index) {
+        Instance* i = instances_[index].get();
+        if (i && i->slots == 0 && i->inFlight == 0) removeInstance(now, index);
     }
     // Reductions are acknowledged immediately because other proxies wait for the slots. Increases that leave
     // a slot idle are too, as an idle slot can only be revoked once it is acknowledged. Slots that are in use
     // immediately are acknowledged when the call ends or with the next periodic report, which saves a message
     // per call. Drawback: a call that ends in the meantime frees its slot one round trip later.
-    const bool idle =
-        std::any_of(instancesWithMoreSlots.begin(), instancesWithMoreSlots.end(), [this](InstanceIndex ix) {
-            const Instance* i = instances_[ix].get();
-            return i && i->inFlight < i->slots;
-        });
+    const bool idle = std::any_of(instancesWithMoreSlots.begin(), instancesWithMoreSlots.end(),
+                                  [this](InstanceIndex index) {
+                                      const Instance* i = instances_[index].get();
+                                      return i && i->inFlight < i->slots;
+                                  });
     if (anySlotsRevoked || idle || grants.whole)
         sendReport(now, false);
     else if (!heldChanges_.empty())
@@ -162,22 +160,22 @@
     heldChanges_[i.info.id] = {i.info.id, services_[i.service].spec.name, i.info.address, held, i.inFlight};
 }
 
-InstanceIndex Dispatch::addInstance(Instant now, const InstanceInfo& view, uint32_t service) {
-    InstanceIndex ix;
+InstanceIndex Dispatch::addInstance(Instant now, const InstanceInfo& info, uint32_t service) {
+    InstanceIndex index;
     if (!freeIndices_.empty()) {
-        ix = freeIndices_.back(), freeIndices_.pop_back();
+        index = freeIndices_.back(), freeIndices_.pop_back();
     } else {
-        ix = static_cast<InstanceIndex>(instances_.size());
+        index = static_cast<InstanceIndex>(instances_.size());
         instances_.emplace_back();
     }
     auto made = std::make_unique<Instance>();
-    made->info = view;
+    made->info = info;
     made->service = service;
     made->idleSince = made->expectedReadyAt = now;
-    services_[service].instances.push_back(ix);
-    instances_[ix] = std::move(made);
-    instanceById_[view.id] = ix;
-    return ix;
+    services_[service].instances.push_back(index);
+    instances_[index] = std::move(made);
+    instanceById_[info.id] = index;
+    return index;
 }
 
 void Dispatch::rememberInstance(Instant now, const Instance& i) {
@@ -192,9 +190,9 @@
     std::erase_if(s.formerInstances, [&](const FormerInstance& each) { return each.info.id == instance; });
 }
 
-void Dispatch::setPlannerSilent(Instant now, bool is) {
-    if (isPlannerSilent_ == is) return;
-    isPlannerSilent_ = is;
+void Dispatch::setPlannerSilent(Instant now, bool isSilent) {
+    if (isPlannerSilent_ == isSilent) return;
+    isPlannerSilent_ = isSilent;
     if (!isPlannerSilent_) return;
     const std::vector<uint32_t> all(queuedServices_.begin(), queuedServices_.end());
     for (uint32_t service : all) dispatchQueued(now, service);
@@ -222,27 +220,27 @@
     auto best = std::find_if(s.formerInstances.begin(), s.formerInstances.end(),
                              [this](const FormerInstance& each) { return each.info.zone == options_.zone; });
     if (best == s.formerInstances.end()) best = s.formerInstances.begin();
-    const InstanceInfo view = best->info;
-    forgetFormerInstance(s, view.id);
-    const InstanceIndex ix = addInstance(now, view, service);
-    instances_[ix]->isReady = true;
-    return ix;
+    const InstanceInfo info = best->info;
+    forgetFormerInstance(s, info.id);
+    const InstanceIndex index = addInstance(now, info, service);
+    instances_[index]->isReady = true;
+    return index;
 }
 
-void Dispatch::removeInstance(Instant now, InstanceIndex ix) {
-    Instance& i = *instances_[ix];
+void Dispatch::removeInstance(Instant now, InstanceIndex index) {
+    Instance& i = *instances_[index];
     rememberInstance(now, i);
-    outputs_.push_back(ReleaseInstance{ix, maxIdleConnections(i)});
+    outputs_.push_back(ReleaseInstance{index, maxIdleConnections(i)});
     auto& all = services_[i.service].instances;
-    all.erase(std::remove(all.begin(), all.end(), ix), all.end());
+    all.erase(std::remove(all.begin(), all.end(), index), all.end());
     instanceById_.erase(i.info.id);
-    instances_[ix].reset();
-    freeIndices_.push_back(ix);
+    instances_[index].reset();
+    freeIndices_.push_back(index);
 }
 
 // Number of idle connections to keep to an instance after its last slot is returned. Slots move between
 // proxies and return within seconds, and an open connection saves the next call a round trip and a small
-// instance another accept. The idle connections of all proxies together must not exhaust the instance's
+// instance another connection. The idle connections of all proxies together must not exhaust the instance's
 // connection limit, so each proxy keeps only an even share of it.
 size_t Dispatch::maxIdleConnections(const Instance& i) const {
     constexpr double kIdleConnectionShare = 0.9;
@@ -250,8 +248,8 @@
     return static_cast<size_t>(kIdleConnectionShare * services_[i.service].spec.maxConnections / proxyCount_);
 }
 
-const InstanceInfo* Dispatch::findInstance(InstanceIndex ix) const {
-    return ix < instances_.size() && instances_[ix] ? &instances_[ix]->info : nullptr;
+const InstanceInfo* Dispatch::findInstance(InstanceIndex index) const {
+    return index < instances_.size() && instances_[index] ? &instances_[index]->info : nullptr;
 }
 
 bool Dispatch::isQueued(RequestId id) const {
@@ -262,7 +260,7 @@
 double Dispatch::fairRate(const Service& s) const {
     double mean = s.meanSeconds > 0 ? s.meanSeconds : kDefaultCallSeconds;
     double own = 0;
-    for (InstanceIndex ix : s.instances) own += instances_[ix]->slots;
+    for (InstanceIndex index : s.instances) own += instances_[index]->slots;
     // An even share of the fleet's rate. A proxy that was granted more slots than its even share uses them,
     // as traffic is uneven.
     double even = s.fleetSlots / static_cast<double>(proxyCount_);
@@ -279,8 +277,8 @@
 Span Dispatch::expectedWait(Instant now, const Service& s, size_t ahead, bool slotMayTransfer) const {
     Instant first = Instant::never();
     double slots = 0;
-    for (InstanceIndex ix : s.instances) {
-        const Instance& i = *instances_[ix];
+    for (InstanceIndex index : s.instances) {
+        const Instance& i = *instances_[index];
         if (i.slots == 0) continue;
         slots += i.slots;
         first = std::min(first, i.isReady ? std::max(now, i.backoffUntil) : std::max(now, i.expectedReadyAt));
@@ -301,17 +299,18 @@
 
 void Dispatch::onRequest(Instant now, const IncomingRequest& a) {
     ++counters_.received;
-    uint32_t ix = findOrAddService(a.service);
-    uint32_t kind = findOrAddRequestClass(a);
+    uint32_t index = findOrAddService(a.service);
+    uint32_t classIndex = findOrAddRequestClass(a);
     Request& r = requests_[a.id];
-    r.incoming = a, r.receivedAt = now, r.service = ix, r.classIndex = kind, r.sequence = ++lastSequence_;
+    r.incoming = a, r.receivedAt = now, r.service = index, r.classIndex = classIndex,
+    r.sequence = ++lastSequence_;
     r.queueUntil = std::min(now + (a.deadline - now) * kMaxQueueTimeShare, a.deadline);
-    Service& s = services_[ix];
+    Service& s = services_[index];
     s.retryBudget.recordRequest(now, options_.retryBudgetWindow);
     ++s.arrivals;
-    if (!s.hasChanged) s.hasChanged = true, changedServices_.push_back(ix);
+    if (!s.hasChanged) s.hasChanged = true, changedServices_.push_back(index);
     enqueue(r);
-    dispatchQueued(now, ix);
+    dispatchQueued(now, index);
     auto still = requests_.find(a.id);
     if (still == requests_.end() || still->second.isInFlight) return;
     // The request is queued. If it cannot meet its deadline it is rejected now, with a Retry-After.
@@ -349,14 +348,14 @@
 std::optional<InstanceIndex> Dispatch::pickInstance(Instant now, const Service& s, const Request& r) const {
     std::optional<InstanceIndex> best;
     double most = 0;
-    for (InstanceIndex ix : s.instances) {
-        const Instance& i = *instances_[ix];
+    for (InstanceIndex index : s.instances) {
+        const Instance& i = *instances_[index];
         if (!i.isReady || i.inFlight >= i.slots || now < i.backoffUntil) continue;
         double room = (i.slots - i.inFlight) / static_cast<double>(i.slots);
         if (i.info.zone == options_.zone) room += 0.4;  // traffic between zones is expensive and slower
         if (i.connectFailures > 0) room /= 4;
-        if (ix == r.avoidInstance) room /= 100;
-        if (!best || room > most) best = ix, most = room;
+        if (index == r.avoidInstance) room /= 100;
+        if (!best || room > most) best = index, most = room;
     }
     return best;
 }
@@ -371,7 +370,7 @@
 // all proxies. Drawback: the planner learns of demand that much later.
 Instant Dispatch::urgentReportAt(Instant now) const {
     return queuedServices_.size() < kManyQueuedServices ? now
-                                                        : std::max(now, reportedAt_ + kCrowdedReportInterval);
+                                                        : std::max(now, reportedAt_ + kUrgentReportInterval);
 }
 
 // Raises the pacing rate as soon as more slots are granted, and shortens a wait that was computed from the
@@ -386,10 +385,10 @@
 
 // Starts pacing a service: a request is queued because the slots are in use or the instance is booting.
 void Dispatch::startPacing(Instant now, Service& s) {
-    bool fresh = !s.bucket.bound;
+    bool isNew = !s.bucket.bound;
     s.bucket.bind(now, fairRate(s), random_);
     // The bucket starts full: with no call in flight, the first queued request does not have to wait.
-    if (fresh && s.inFlight == 0) s.bucket.tokens = 1;
+    if (isNew && s.inFlight == 0) s.bucket.tokens = 1;
     if (!s.isDemandReported || now - s.demandReportedAt > kDemandRepeatInterval) {
         s.isDemandReported = true, s.demandReportedAt = now;
         requestUrgentReport(now);
@@ -398,8 +397,8 @@
         s.hasChanged = true, changedServices_.push_back(static_cast<uint32_t>(&s - services_.data()));
 }
 
-void Dispatch::dispatchQueued(Instant now, uint32_t ix) {
-    Service& s = services_[ix];
+void Dispatch::dispatchQueued(Instant now, uint32_t index) {
+    Service& s = services_[index];
     while (!s.queue.empty()) {
         Request& r = requests_.at(s.queue.begin()->second);
         if (now >= r.incoming.deadline) {
@@ -407,7 +406,7 @@
             continue;
         }
         auto at = pickInstance(now, s, r);
-        if (!at && mayBorrow(now, s, r)) at = borrowInstance(now, ix);
+        if (!at && mayBorrow(now, s, r)) at = borrowInstance(now, index);
         if (!at) {
             startPacing(now, s);
             for (InstanceIndex each : s.instances) {
@@ -425,16 +424,16 @@
     s.isDemandReported = false;
 }
 
-void Dispatch::startProbe(Instant now, Instance& i, InstanceIndex ix) {
+void Dispatch::startProbe(Instant now, Instance& i, InstanceIndex index) {
     if (i.isProbing) return;
     if (now < i.nextProbeAt) return scheduleWakeup(i.nextProbeAt);
     i.isProbing = true, ++counters_.probes;
-    outputs_.push_back(ProbeInstance{ix});
+    outputs_.push_back(ProbeInstance{index});
 }
 
-void Dispatch::onProbeResult(Instant now, InstanceIndex ix, bool up) {
-    if (ix >= instances_.size() || !instances_[ix]) return;
-    Instance& i = *instances_[ix];
+void Dispatch::onProbeResult(Instant now, InstanceIndex index, bool up) {
+    if (index >= instances_.size() || !instances_[index]) return;
+    Instance& i = *instances_[index];
     i.isProbing = false;
     if (up && !i.isReady) {
         i.isReady = true;
@@ -449,28 +448,29 @@
     dispatchQueued(now, i.service);
 }
 
-void Dispatch::sendRequest(Instant now, Request& r, InstanceIndex ix) {
+void Dispatch::sendRequest(Instant now, Request& r, InstanceIndex index) {
     Service& s = services_[r.service];
-    Instance& i = *instances_[ix];
+    Instance& i = *instances_[index];
     ++i.inFlight, ++s.inFlight, ++counters_.sent;
     s.peakDemand = std::max(s.peakDemand, s.inFlight + static_cast<uint32_t>(s.queue.size()));
     if (!s.hasChanged) s.hasChanged = true, changedServices_.push_back(r.service);
     ++r.attempts;
     setPendingRetry(r, false);
     if (r.attempts > 1) s.retryBudget.recordRetry(now, options_.retryBudgetWindow), ++counters_.retries;
-    r.isInFlight = true, r.instance = ix, r.sentAt = now;
+    r.isInFlight = true, r.instance = index, r.sentAt = now;
     // A response may be lost while the connection stays open. An idempotent request is abandoned when its
     // latency far exceeds that of its class and time is left for another attempt; otherwise the response is
     // awaited until the deadline. Drawback: when an instance suddenly becomes that slow, its work is
     // discarded once.
-    Span patience;
+    Span attemptTimeout;
     const auto& times = requestClasses_[r.classIndex].latencies;
     if (r.incoming.isIdempotent && r.attempts < r.incoming.maxAttempts && times.count >= 8 &&
         r.lastOutcome != AttemptOutcome::timedOut) {
-        Span cut = Span::seconds(std::max({2.5 * times.high, 1.5 * times.slowest, 0.15}));
-        if (now + cut + expectedCallTime(s, r) * 2 < r.incoming.deadline && mayRetry(now, s)) patience = cut;
+        Span timeout = Span::seconds(std::max({2.5 * times.high, 1.5 * times.slowest, 0.15}));
+        if (now + timeout + expectedCallTime(s, r) * 2 < r.incoming.deadline && mayRetry(now, s))
+            attemptTimeout = timeout;
     }
-    outputs_.push_back(SendRequest{r.incoming.id, ix, patience});
+    outputs_.push_back(SendRequest{r.incoming.id, index, attemptTimeout});
 }
 
 void Dispatch::releaseSlot(Instant now, Instance& i) {
@@ -508,10 +508,11 @@
     bool answered = outcome == AttemptOutcome::answered || outcome == AttemptOutcome::serverError;
     Span took = now - r.sentAt;
     if (answered) {
-        RequestClass& kind = requestClasses_[r.classIndex];
-        kind.latencies.add(took, true);
-        kind.meanSeconds =
-            kind.meanSeconds == 0 ? took.inSeconds() : 0.95 * kind.meanSeconds + 0.05 * took.inSeconds();
+        RequestClass& requestClass = requestClasses_[r.classIndex];
+        requestClass.latencies.add(took, true);
+        requestClass.meanSeconds = requestClass.meanSeconds == 0
+                                       ? took.inSeconds()
+                                       : 0.95 * requestClass.meanSeconds + 0.05 * took.inSeconds();
         s.meanSeconds = s.meanSeconds == 0 ? took.inSeconds() : 0.9 * s.meanSeconds + 0.1 * took.inSeconds();
         s.bucket.succeeded(now, fairRate(s), 2 * fairRate(s), 1);
     }
@@ -539,6 +540,7 @@
                 scheduleWakeup(i->backoffUntil);
                 break;
             case AttemptOutcome::misdirected:
+                // Counts as two failures, so that the instance is reported dead immediately.
                 ++counters_.misdirected, ++i->connectFailures;
                 onConnectFailure(now, *i, at);
                 break;
@@ -596,10 +598,10 @@
     return now + expectedCallTime(s, found->second) < found->second.incoming.deadline && mayRetry(now, s);
 }
 
-void Dispatch::setPendingRetry(Request& r, bool is) {
-    if (r.hasPendingRetry == is) return;
-    r.hasPendingRetry = is;
-    services_[r.service].pendingRetries += is ? 1 : -1;
+void Dispatch::setPendingRetry(Request& r, bool isPending) {
+    if (r.hasPendingRetry == isPending) return;
+    r.hasPendingRetry = isPending;
+    services_[r.service].pendingRetries += isPending ? 1 : -1;
 }
 
 // Handles a request without a response: retries it elsewhere, rejects it as not executed, or fails it.
@@ -637,7 +639,7 @@
     requests_.erase(id);
 }
 
-void Dispatch::rejectRequest(Instant now, Request& r, bool atOnce) {
+void Dispatch::rejectRequest(Instant now, Request& r, bool immediately) {
     if (r.mayHaveExecuted) {  // it must not be reported as not executed
         dequeue(r);
         ++counters_.failed;
@@ -648,13 +650,12 @@
                 FailRequest{r.incoming.id, r.lastOutcome == AttemptOutcome::timedOut ? 504 : 502});
         return eraseRequest(r);
     }
-    ++(atOnce ? counters_.rejectedImmediately : counters_.rejectedAfterQueueing);
+    ++(immediately ? counters_.rejectedImmediately : counters_.rejectedAfterQueueing);
     Service& s = services_[r.service];
     dequeue(r);
     Span wait = expectedWait(now, s, s.queue.size() / 2, false);
-    wait =
-        wait + Span::seconds(random_.between(
-                   0.05, 0.25));  // random delay added to every wait, so that clients do not return together
+    // A random delay, so that clients do not return together.
+    wait = wait + Span::seconds(random_.between(0.05, 0.25));
     outputs_.push_back(RejectRequest{
         r.incoming.id, 503, std::min(wait, std::max((r.incoming.deadline - now) * 0.33, Span::millis(50)))});
     eraseRequest(r);
@@ -698,8 +699,8 @@
                 if (i->isReady && !i->isReportedDead) readyInstances_.push_back(i->info.id);
             }
     }
-    for (uint32_t ix : changedServices_) {
-        Service& s = services_[ix];
+    for (uint32_t index : changedServices_) {
+        Service& s = services_[index];
         s.hasChanged = false;
         out.demands.push_back({s.spec.name, static_cast<uint32_t>(s.queue.size()), s.inFlight, s.peakDemand,
                                s.arrivals, static_cast<uint32_t>(s.meanSeconds * 1e6)});
--- a/system/proxy/dispatch.hpp
+++ b/system/proxy/dispatch.hpp
@@ -94,6 +94,7 @@
 struct SendReport {
     scaler::Report report;
 };
+// What the caller has to do next.
 using Output = std::variant<SendRequest, RejectRequest, FailRequest, ForwardResponse, ProbeInstance,
                             ReleaseInstance, SendReport>;
 
@@ -124,13 +125,16 @@
     // Limits the queue. Beyond it, a request that cannot be sent immediately is rejected: each queued request
     // occupies a client connection, and once none is left clients are reset without a Retry-After.
     void setMaxQueued(size_t maxQueued) { maxQueued_ = maxQueued; }
+    // Replaces the configured services.
     void updateServices(Instant now, const std::vector<ServiceSpec>&);
     // Sets the current planner's term, whether it is connected, and the number of live proxies. A new term or
     // a new connection triggers a full report.
     void updatePlannerStatus(Instant now, uint64_t term, bool linked, uint32_t proxyCount);
     void onPlannerDisconnected() { isLinked_ = false; }  // the connection to the planner is lost
-    // While the planner is silent, a queued request may borrow a slot, see borrowInstance().
+    // Sets whether nothing is heard from the planner. While it is silent, a queued request may borrow a slot,
+    // see borrowInstance().
     void setPlannerSilent(Instant now, bool);
+    // Applies the planner's grants of slots unless they are of an older term.
     void applyGrants(Instant now, const scaler::Grants&);
     void onRequest(Instant now, const IncomingRequest&);
     void cancelRequest(Instant now, RequestId);  // the client has disconnected; nothing is answered
@@ -138,20 +142,19 @@
     // Whether an attempt whose attemptTimeout has passed may be abandoned.
     bool mayAbandonAttempt(Instant now, RequestId);
     void onProbeResult(Instant now, InstanceIndex, bool up);
-    void startDraining(Instant now);
-    void rejectQueued(Instant now);  // rejects all queued requests as not executed, before the process exits
-    void tick(Instant now);
+    void startDraining(Instant now);  // tells the planner that this proxy is shutting down
+    void rejectQueued(Instant now);   // rejects all queued requests as not executed, before the process exits
+    void tick(Instant now);           // to be called at wakeAt()
     Instant wakeAt() const { return wakeAt_; }
-    std::optional<Output> next();
+    std::optional<Output> next();  // the next output, if any
 
     const InstanceInfo* findInstance(InstanceIndex) const;
     bool isQueued(RequestId id) const;
     const Counters& counters() const { return counters_; }
-    size_t queuedCount() const { return queuedCount_; }  // number of queued requests
+    size_t queuedCount() const { return queuedCount_; }
 
   private:
-    struct RequestClass {  // requests whose latencies are learned together, as a rare function alone yields
-                           // few samples
+    struct RequestClass {  // latencies are learned per class, as a rare service yields few samples
         policy::AnswerTimes latencies;
         double meanSeconds = 0;  // of answered requests
     };
@@ -210,8 +213,8 @@
     void startPacing(Instant now, Service&);
     void raisePacingRate(Instant now, Service&);
     Instant urgentReportAt(Instant now) const;
-    void requestUrgentReport(
-        Instant now);  // sends a report in this round instead of with the next periodic one
+    // Sends a report in this round instead of with the next periodic one.
+    void requestUrgentReport(Instant now);
     std::optional<InstanceIndex> pickInstance(Instant now, const Service&, const Request&) const;
     double fairRate(const Service&) const;
     // slotMayTransfer: assume that a slot of another proxy may be reassigned to this one soon. Not assumed
@@ -223,7 +226,7 @@
     void retryOrFinish(Instant now, Request&);
     bool mayRetry(Instant now, Service&);
     void setPendingRetry(Request&, bool);
-    void rejectRequest(Instant now, Request&, bool atOnce);
+    void rejectRequest(Instant now, Request&, bool immediately);
     void eraseRequest(Request&);
     void startProbe(Instant now, Instance&, InstanceIndex);
     void onConnectFailure(Instant now, Instance&, InstanceIndex);
@@ -248,8 +251,8 @@
     std::unordered_map<RequestId, Request> requests_;
     std::map<std::array<int64_t, 4>, uint32_t> requestClassByKey_;
     std::vector<RequestClass> requestClasses_;
-    std::multimap<Instant, RequestId>
-        queueDeadlines_;  // latest time to stay queued; checked in rejectOverdue()
+    // Until when a request may stay queued; checked in rejectOverdue().
+    std::multimap<Instant, RequestId> queueDeadlines_;
     std::deque<Output> outputs_;
     std::vector<std::string> deadInstances_, readyInstances_;
     std::map<std::string, scaler::Held> heldChanges_;
--- a/system/proxy/proxy.cpp
+++ b/system/proxy/proxy.cpp
@@ -17,16 +17,13 @@
 
 namespace {
 
-const Span kConnectTimeout = Span::millis(700);  // for connecting to an instance
-const Span kUnacknowledgedTimeout =
-    Span::millis(2500);  // a peer that acknowledges nothing for this long is considered gone
+const Span kConnectTimeout = Span::millis(700);          // for connecting to an instance
+const Span kUnacknowledgedTimeout = Span::millis(2500);  // after which a peer is considered gone
 constexpr size_t kMaxResponseBodyBytes = 16u << 20;
-const Span kMaxIdle = Span::seconds(8);  // longest idle time of a kept connection
-const Span kRejectNewBeforeKill =
-    Span::millis(1600);  // before the process is killed: new requests are rejected from here on
-const Span kRejectQueuedBeforeKill =
-    Span::millis(1300);  // before the process is killed: queued requests are rejected
-const Span kMaxIdleNonIdempotent = Span::millis(900);  // longest idle time before a non-idempotent request
+const Span kMaxIdle = Span::seconds(8);                   // longest idle time of a kept connection
+const Span kRejectNewBeforeKill = Span::millis(1600);     // rejects new requests this long before the kill
+const Span kRejectQueuedBeforeKill = Span::millis(1300);  // rejects queued requests then
+const Span kMaxIdleNonIdempotent = Span::millis(900);     // longest idle time before a non-idempotent request
 
 bool isHopByHop(std::string_view name) {
     for (const char* each :
@@ -43,11 +40,13 @@
            http::sameName(name, "X-Endpoint-Seal");
 }
 
-void appendFields(std::string& out, const http::Head& head, std::initializer_list<std::string_view> but) {
-    bool lists = head.field("Connection").has_value();
+void appendFields(std::string& out, const http::Head& head,
+                  std::initializer_list<std::string_view> excluded) {
+    bool hasConnectionField = head.field("Connection").has_value();
     for (const auto& [name, value] : head.fields) {
-        if (isHopByHop(name) || (lists && !isEndToEnd(name) && head.names(name))) continue;
-        if (std::any_of(but.begin(), but.end(), [n = name](auto b) { return http::sameName(n, b); }))
+        if (isHopByHop(name) || (hasConnectionField && !isEndToEnd(name) && head.names(name))) continue;
+        if (std::any_of(excluded.begin(), excluded.end(),
+                        [n = name](auto b) { return http::sameName(n, b); }))
             continue;
         out.append(name).append(": ").append(value).append("\r\n");
     }
@@ -142,13 +141,13 @@
 
 // --- Proxy ---
 
-Proxy::Proxy(network::Loop& loop, const configuration::Settings& settings, uint32_t chance,
+Proxy::Proxy(network::Loop& loop, const configuration::Settings& settings, uint32_t seed,
              std::string loopback)
     : loop_(loop), settings_(settings), loopback_(std::move(loopback)),
-      dispatch_(loop.now(), Dispatch::Options{chance, settings.zone, settings.bounds.retryBudgetRatio,
+      dispatch_(loop.now(), Dispatch::Options{seed, settings.zone, settings.bounds.retryBudgetRatio,
                                               settings.bounds.retrySlack, settings.bounds.budgetWindow,
                                               !settings.bootstrap}),
-      random_{std::mt19937(chance + 1)}, readiness_(loop, [this] { return routes_ && !isDraining_; }) {}
+      random_{std::mt19937(seed + 1)}, readiness_(loop, [this] { return routes_ && !isDraining_; }) {}
 
 Proxy::~Proxy() = default;
 
@@ -228,8 +227,7 @@
     // Never applies an older version: what it allows must not be served once a newer version was in force.
     const configuration::Taking how = configurationText_.take(c);
     if (how == configuration::Taking::older) return;
-    if (how != configuration::Taking::taken) {  // e.g. after a start between two versions: request the full
-                                                // configuration
+    if (how != configuration::Taking::taken) {  // e.g. after a start between two versions
         ++fullConfigRequests_;
         agentLink_->say(Kind::want, network::Beat{});
         return;
@@ -248,12 +246,11 @@
 }
 
 void Proxy::asked(HttpVisit& visit, HttpRequest&& request) {
-    auto notRun = [&](Span wait) { visit.answer(503, retryAfterField(wait), "", isDraining_); };
+    auto rejectNotExecuted = [&](Span wait) { visit.answer(503, retryAfterField(wait), "", isDraining_); };
     if (!routes_) {  // without a configuration no route is known to be missing, so no 404
         ++notReady_;
-        return notRun(
-            Span::millis(300) +
-            Span::seconds(random_.between(0.05, 0.25)));  // random, so that clients do not return together
+        // The random part keeps clients from returning together.
+        return rejectNotExecuted(Span::millis(300) + Span::seconds(random_.between(0.05, 0.25)));
     }
     // With few proxies left, the platform sends requests here until the end. A request that may not finish
     // before the process is killed is rejected as not executed. Drawback: this includes requests that would
@@ -415,8 +412,8 @@
 
 void Proxy::sendRequest(const SendRequest& s) {
     auto found = exchanges_.find(s.id);
-    const InstanceInfo* view = dispatch_.findInstance(s.instance);
-    if (found == exchanges_.end() || !view) {
+    const InstanceInfo* info = dispatch_.findInstance(s.instance);
+    if (found == exchanges_.end() || !info) {
         dispatch_.onAttemptEnded(loop_.now(), s.id, AttemptOutcome::connectFailed);
         return scheduleOutputs();
     }
@@ -424,7 +421,7 @@
     Instant now = loop_.now();
     ConnectionPool& p = poolOf(s.instance);
     InstanceConnection* connection = takeIdleConnection(p.idle, e);
-    if (auto parked = parked_.find(view->id); !connection && parked != parked_.end()) {
+    if (auto parked = parked_.find(info->id); !connection && parked != parked_.end()) {
         p.idle = std::move(parked->second);
         parked_.erase(parked);
         parkedCount_ -= p.idle.size();
@@ -433,8 +430,8 @@
         connectsSaved_ += connection != nullptr;
     }
     if (!connection) {
-        auto address = network::Address::parse(view->address);
-        auto made = std::make_unique<InstanceConnection>(*this, nextConnectionId_++, s.instance, view->id);
+        auto address = network::Address::parse(info->address);
+        auto made = std::make_unique<InstanceConnection>(*this, nextConnectionId_++, s.instance, info->id);
         ++connects_;
         if (address) made->stream = Stream::connect(loop_, *made, *address, kUnacknowledgedTimeout);
         if (!made->stream) {
@@ -465,9 +462,10 @@
     while (!idle.empty()) {
         InstanceConnection* last = idle.back();
         idle.pop_back();
-        Span lay = loop_.now() - last->idleSince;
-        Span most = e.isIdempotent ? last->maxIdle : std::min(kMaxIdleNonIdempotent, last->maxIdle * 0.5);
-        if (lay < most && !last->reader.mustClose()) return last;
+        Span idleTime = loop_.now() - last->idleSince;
+        Span maxIdleTime =
+            e.isIdempotent ? last->maxIdle : std::min(kMaxIdleNonIdempotent, last->maxIdle * 0.5);
+        if (idleTime < maxIdleTime && !last->reader.mustClose()) return last;
         closeConnection(*last);
     }
     return nullptr;
@@ -496,8 +494,8 @@
 // Instance indices are reused: the result of a probe of a previous instance says nothing about the current
 // one.
 bool Proxy::isCurrent(const InstanceConnection& connection) const {
-    const InstanceInfo* view = dispatch_.findInstance(connection.instanceIndex);
-    return view && view->id == connection.instanceId;
+    const InstanceInfo* info = dispatch_.findInstance(connection.instanceIndex);
+    return info && info->id == connection.instanceId;
 }
 
 void Proxy::failConnection(InstanceConnection& connection, AttemptOutcome outcome) {
@@ -565,8 +563,8 @@
         std::string head = "HTTP/1.1 " + std::to_string(a.status) + " ";
         head.append(a.head.third.empty() ? http::reason(a.status) : std::string(a.head.third)).append("\r\n");
         appendFields(head, a.head, {});
-        // Where no body is allowed, Content-Length describes another response's body and is the instance's
-        // own.
+        // In a response without a body, Content-Length describes the body of another response, as for HEAD.
+        // It is forwarded as the instance sent it.
         if (a.bodiless) {
             if (auto length = a.head.field("Content-Length"))
                 head.append("Content-Length: ").append(*length).append("\r\n");
@@ -601,10 +599,10 @@
 }
 
 void Proxy::probeInstance(InstanceIndex at) {
-    const InstanceInfo* view = dispatch_.findInstance(at);
-    if (!view) return;
-    auto made = std::make_unique<InstanceConnection>(*this, nextConnectionId_++, at, view->id);
-    auto address = network::Address::parse(view->address);
+    const InstanceInfo* info = dispatch_.findInstance(at);
+    if (!info) return;
+    auto made = std::make_unique<InstanceConnection>(*this, nextConnectionId_++, at, info->id);
+    auto address = network::Address::parse(info->address);
     if (address) made->stream = Stream::connect(loop_, *made, *address, kUnacknowledgedTimeout);
     if (!made->stream) {
         dispatch_.onProbeResult(loop_.now(), at, false);
@@ -619,11 +617,11 @@
 }
 
 // Keeps an idle connection for when a slot of its instance returns. Returns false if it has to be closed.
-bool Proxy::park(InstanceConnection& connection, size_t mayKeep) {
+bool Proxy::park(InstanceConnection& connection, size_t maxIdleConnections) {
     if (!connection.isIdle || connection.requestId != 0 || connection.reader.mustClose()) return false;
     const auto same = parked_.find(connection.instanceId);
     const size_t kept = same != parked_.end() ? same->second.size() : 0;
-    if (kept >= mayKeep || parkedCount_ >= maxParked_) return false;
+    if (kept >= maxIdleConnections || parkedCount_ >= maxParked_) return false;
     parked_[connection.instanceId].push_back(&connection);
     connection.isParked = true;
     ++parkedCount_;
@@ -631,11 +629,11 @@
 }
 
 void Proxy::releaseInstance(const ReleaseInstance& d) {
-    std::vector<InstanceConnection*> mine;
+    std::vector<InstanceConnection*> released;
     for (auto& [id, connection] : connections_)
         if (connection->instanceIndex == d.instance && !connection->isParked)
-            mine.push_back(connection.get());
-    for (InstanceConnection* connection : mine) {
+            released.push_back(connection.get());
+    for (InstanceConnection* connection : released) {
         if (park(*connection, d.maxIdleConnections)) continue;
         if (connection->requestId != 0)
             failConnection(*connection, connection->stream->anythingSent() ? AttemptOutcome::connectionBroken
@@ -662,11 +660,13 @@
 }
 
 void Proxy::closeExpiredIdle(std::vector<InstanceConnection*>& idle) {
-    size_t over = 0;
-    while (over < idle.size() && loop_.now() - idle[over]->idleSince > idle[over]->maxIdle) ++over;
-    const std::vector<InstanceConnection*> old(idle.begin(),
-                                               idle.begin() + static_cast<std::ptrdiff_t>(over));
-    for (InstanceConnection* connection : old) closeConnection(*connection);
+    size_t expiredCount = 0;
+    while (expiredCount < idle.size() &&
+           loop_.now() - idle[expiredCount]->idleSince > idle[expiredCount]->maxIdle)
+        ++expiredCount;
+    const std::vector<InstanceConnection*> expired(idle.begin(),
+                                                   idle.begin() + static_cast<std::ptrdiff_t>(expiredCount));
+    for (InstanceConnection* connection : expired) closeConnection(*connection);
 }
 
 void Proxy::startDraining() {
@@ -684,22 +684,22 @@
 // instances.
 void Proxy::stopIfDrained() {
     Instant now = loop_.now();
-    Span lasts = now - drainingSince_;
-    if (lasts > Span::millis(400)) {
+    Span drainingTime = now - drainingSince_;
+    if (drainingTime > Span::millis(400)) {
         std::vector<HttpVisit*> all;
         for (auto& [id, visit] : visits_) all.push_back(visit.get());
         for (HttpVisit* visit : all) visit->closeWhenIdle(Span::millis(300));
     }
-    if (lasts > settings_.bounds.grace - kRejectQueuedBeforeKill) {
+    if (drainingTime > settings_.bounds.grace - kRejectQueuedBeforeKill) {
         if (listener_) listener_->close();  // clients are reset from now on, before they have sent anything
         dispatch_.rejectQueued(now);
         scheduleOutputs();
     }
     bool quiet = exchanges_.empty() && now - lastAcceptedAt_ > Span::millis(700);
-    bool late = lasts > settings_.bounds.grace - kRejectQueuedBeforeKill + Span::millis(200);
+    bool late = drainingTime > settings_.bounds.grace - kRejectQueuedBeforeKill + Span::millis(200);
     bool busy = std::any_of(visits_.begin(), visits_.end(), [](const auto& v) { return v.second->busy(); });
-    if ((quiet && !busy && lasts > Span::millis(3200)) || (late && !busy && exchanges_.empty()) ||
-        lasts > settings_.bounds.grace - Span::millis(250)) {
+    if ((quiet && !busy && drainingTime > Span::millis(3200)) || (late && !busy && exchanges_.empty()) ||
+        drainingTime > settings_.bounds.grace - Span::millis(250)) {
         logCounters();
         loop_.stop();
     }
--- a/system/proxy/proxy.hpp
+++ b/system/proxy/proxy.hpp
@@ -23,11 +23,12 @@
   public:
     ReadinessServer(network::Loop& loop, std::function<bool()> ready)
         : loop_(loop), isReady_(std::move(ready)) {}
+    // Returns false with a message in `error` if the address cannot be opened.
     bool listen(network::Address, std::string& error);
     void asked(network::HttpVisit&, network::HttpRequest&&) override;
     void left(network::HttpVisit&) override;
     const network::HttpLimits& limits() const override { return limits_; }
-    void closeTimedOut();
+    void closeTimedOut();  // closes connections that are idle for too long; to be called periodically
 
   private:
     network::Loop& loop_;
@@ -38,14 +39,15 @@
     uint64_t nextVisitId_ = 1;
 };
 
+// Accepts requests from clients, asks Dispatch where to send them and forwards the responses.
 class Proxy final : public network::HttpHost, public network::LinkOwner {
   public:
-    Proxy(network::Loop&, const configuration::Settings&, uint32_t chance,
-          std::string loopback = "127.0.0.1");
+    Proxy(network::Loop&, const configuration::Settings&, uint32_t seed, std::string loopback = "127.0.0.1");
     ~Proxy() override;
+    // Opens the listeners and connects to the agent; false with a message in `error` if that fails.
     bool start(std::string& error);
-    void startDraining();  // on SIGTERM: finishes requests in flight, then stops the loop
-    void logCounters() const;
+    void startDraining();      // on SIGTERM: finishes requests in flight, then stops the loop
+    void logCounters() const;  // also logged every ten seconds
 
     void asked(network::HttpVisit&, network::HttpRequest&&) override;
     void left(network::HttpVisit&) override;
@@ -78,7 +80,7 @@
     void sendRequest(const SendRequest&);
     void probeInstance(InstanceIndex);
     void releaseInstance(const ReleaseInstance&);
-    bool park(InstanceConnection&, size_t mayKeep);
+    bool park(InstanceConnection&, size_t maxIdleConnections);
     InstanceConnection* takeIdleConnection(std::vector<InstanceConnection*>& idle, const Exchange&);
     void closeExpiredIdle(std::vector<InstanceConnection*>& idle);
     void forwardResponse(RequestId);
--- a/system/proxy/response_reader.hpp
+++ b/system/proxy/response_reader.hpp
@@ -25,11 +25,10 @@
 
 struct ReadResult {
     AttemptOutcome outcome = AttemptOutcome::connectionBroken;
-    std::unique_ptr<network::HttpAnswer>
-        response;                   // the complete response to this request; null if there is none
-    bool isReusable = false;        // the connection may carry another request
-    bool isInvalid = false;         // the bytes cannot be forwarded; counted
-    std::optional<Span> keepAlive;  // idle time announced by the instance, less a margin
+    std::unique_ptr<network::HttpAnswer> response;  // complete; null if there is none to this request
+    bool isReusable = false;                        // the connection may carry another request
+    bool isInvalid = false;                         // the bytes cannot be forwarded; counted
+    std::optional<Span> keepAlive;                  // idle time announced by the instance, less a margin
 };
 
 // Deliberate defects for tests only: the model test has to detect each of them.
--- a/system/proxy/retry_budget.hpp
+++ b/system/proxy/retry_budget.hpp
@@ -15,6 +15,7 @@
   public:
     void recordRequest(Instant now, Span window) { binAt(now, window).requests += 1; }
     void recordRetry(Instant now, Span window) { binAt(now, window).retries += 1; }
+    // Whether one more retry is allowed: at most half of `ratio` times the requests, plus `slack`.
     bool allowsRetry(Instant now, Span window, double ratio, double slack) {
         binAt(now, window);
         double requests = 0, further = 0;
