--- a/system/consensus/core.hpp
+++ b/system/consensus/core.hpp
@@ -49,7 +49,7 @@
 // The state kept on one disk. Loaded at start; each save replaces it as a whole.
 struct DurableState {
     Value value;
-    PromisedBallots claims;             // promised ballots by version of the register
+    PromisedBallots claims;        // promised ballots by version of the register
     std::vector<NodeId> voters;    // sorted; empty: not agreed yet
     std::vector<NodeId> electors;  // sorted; the seeds of the first start, which agree on the first voters
     uint64_t votersBallot = 0;     // the highest ballot promised for the next voters
--- a/system/consensus/state_store_test.cpp
+++ b/system/consensus/state_store_test.cpp
@@ -184,7 +184,8 @@
 // bytes, and loads the state.
 class TornLogTest : public StateStoreTest {
   protected:
-    network::Result<std::optional<DurableState>> loadAfterLoss(size_t body, int save, double from, double to) {
+    network::Result<std::optional<DurableState>> loadAfterLoss(size_t body, int save, double from,
+                                                               double to) {
         DurableState d = sample(1000);
         std::vector<uintmax_t> ends{0};
         {
--- a/system/control_plane/report_backlog.hpp
+++ b/system/control_plane/report_backlog.hpp
@@ -1,8 +1,8 @@
 // Queue of senders' reports for the planner, in order of arrival, processed a few per turn of the loop.
 //
 // With many senders, processing all reports in one turn took a small machine longer than the duty's
-// leaseDuration, so the holder lost the duty meanwhile, and again each time it had won it back. Drawback: queued
-// reports are older by a turn or more.
+// leaseDuration, so the holder lost the duty meanwhile, and again each time it had won it back. Drawback:
+// queued reports are older by a turn or more.
 #pragma once
 
 #include <cstdint>
--- a/system/proxy/dispatch.cpp
+++ b/system/proxy/dispatch.cpp
@@ -467,7 +467,8 @@
     const auto& times = requestClasses_[r.classIndex].latencies;
     if (r.incoming.isIdempotent && r.attempts < r.incoming.maxAttempts && times.count >= 8 &&
         r.lastOutcome != AttemptOutcome::timedOut) {
-        Span timeout = Span::seconds(std::max({2.5 * times.highQuantile, 1.5 * times.slowestDelivered, 0.15}));
+        Span timeout =
+            Span::seconds(std::max({2.5 * times.highQuantile, 1.5 * times.slowestDelivered, 0.15}));
         if (now + timeout + expectedCallTime(s, r) * 2 < r.incoming.deadline && mayRetry(now, s))
             attemptTimeout = timeout;
     }
