--- a/system/control_plane/control.cpp
+++ b/system/control_plane/control.cpp
@@ -160,7 +160,6 @@
 }
 
 // --- operator requests ---
-// ---------------------------------------------------------------------------------------------
 
 void Control::asked(HttpVisit& visit, HttpRequest&& request) {
     commands_.push_back(decodeCommand(visit.id(), std::move(request)));
@@ -280,7 +279,6 @@
 }
 
 // --- consensus core and its outputs ---
-// -----------------------------------------------------------------------------
 
 void Control::woke(uint32_t) {
     uint64_t count = 0;
@@ -401,7 +399,6 @@
 }
 
 // --- agents and other cores ---
-// ------------------------------------------------------------------------------------
 
 void Control::sendConfig(Link& link, configuration::TextId base) {
     if (configTexts_.any()) link.say(Kind::config, configTexts_.configFor(base));
--- a/system/proxy/slots_sim_for_test.hpp
+++ b/system/proxy/slots_sim_for_test.hpp
@@ -75,9 +75,8 @@
         return {};
     }
     long executedCount() const { return executedCount_; }
-    long rejectedCount() const {
-        return rejectedCount_;
-    }  // calls rejected as full, all at instances used by an untracked sender
+    // Calls rejected as full, all at instances used by an untracked sender.
+    long rejectedCount() const { return rejectedCount_; }
     long electionCount() const { return electionCount_; }
     long untrackedCount() const { return untrackedCount_; }
 
@@ -477,8 +476,8 @@
         bool reportedLinked = false;
         uint64_t grantTerm = 0;
         std::array<SimulatedLink, kCores> links;
-        std::map<std::string, uint32_t> granted, lastTold,
-            inFlight;  // slots as granted and as last sent by the planner; calls in flight
+        // Slots as granted and as last sent by the planner; calls in flight.
+        std::map<std::string, uint32_t> granted, lastTold, inFlight;
         bool isUntracked = false;
         std::set<std::string> reassignable;  // instances whose slots it was too late to return
         int64_t unansweredSince = -1;        // since when the planner has sent it something without an answer
--- a/system/scaler/planner.cpp
+++ b/system/scaler/planner.cpp
@@ -218,7 +218,6 @@
     Counters counters;
 
     // --- platform call rate ---
-    // -------------------------------------------------------------------------------
 
     double bucketDepth() const { return std::max(1.0, tuning.bucketDepthFactor * maxCallsPerSecond); }
     // Takes a token for one start or stop. Calls that are not urgent leave a part of the bucket for starts
@@ -607,7 +606,6 @@
     }
 
     // --- slots for waiting requests ---
-    // ---------------------------------------------------------------------------
 
     // Prefers the sender's zone, then instances that few senders hold, so that few have to return slots when
     // it is retired. Callers try running instances of any zone before booting ones: a boot takes a second,
@@ -765,7 +763,6 @@
     }
 
     // --- number of instances ---
-    // --------------------------------------------------------------------------------
 
     bool missesTargetAfterBoot(const Service* service) const {
         return service->spec.targetLatency <
@@ -923,7 +920,7 @@
         uint32_t each = uint32_t(std::max(1, service->spec.maxConcurrency));
         double hold = want > 0 ? std::max(want * tuning.surplusFactor, service->peakBusy) : 0;
         auto least = uint32_t(std::ceil(hold / each));
-        // Without the surplus factor where one instance suffices: one is kept.
+        // Where one instance suffices, the 15% more (tuning.surplusFactor) is left out: one is kept, not two.
         if (want > 0 && want <= each && service->peakBusy <= each) least = 1;
         if (h.count <= least) {
             service->surplusSince = Instant::never();
@@ -1002,7 +999,7 @@
         }
     }
 
-    // --- pass after events --- ------------------------------------------------------------------------
+    // --- pass after events ---
 
     void finishLearning(Instant now) {
         if (isReady || now < createdAt + tuning.learningTime ||
--- a/system/scaler/planner.hpp
+++ b/system/scaler/planner.hpp
@@ -71,14 +71,15 @@
     uint32_t waiting = 0, busy = 0;  // requests, as reported by the senders
 };
 
-// What a sender's agent owes, and the planner relies on:
-//  - per link, Tells are read and Reports are sent in order; the first Report of a link is whole;
-//  - every instance named in Grants, or whose slots or busy changed, is named in the next Report, with 0 too;
-//    a Held tells the slots that are in use or may still be used, so a lowered one shrinks as calls end;
-//  - what is given back is reported at once; a Demand whose waiting went to 0 is reported with 0;
-//  - a sender without a holder goes on with its slots. After 5 s of its silence they are given to others:
-//  where
-//    it was only cut off, both may send there, and what is too much is turned away as not run.
+// What the planner requires of a sender:
+//  - On each link, Grants are read and Reports are sent in order. The first Report of a link is full.
+//  - The next Report names every instance that Grants named or whose slots or busy changed, also with 0. Its
+//    HeldSlots counts the slots that are in use or may still be used, so after a decrease it shrinks as calls
+//    end.
+//  - Returned slots are reported at once. A Demand whose waiting count became 0 is reported with 0.
+//  - A sender without a holder keeps using its slots. After 5 s without a link to it, its slots are granted
+//    to others. If it was only cut off, both may send calls there, and the instance rejects those beyond its
+//    slots as not executed.
 class Planner {
   public:
     // maxCallsPerSecond: starts and stops that the platform accepts per second from all callers; listLag:
--- a/system/scaler/tuning.hpp
+++ b/system/scaler/tuning.hpp
@@ -16,16 +16,16 @@
     // When slots of a sender whose process ended are released: its connections were reset, so endpoints drop
     // the work at once.
     Span freeAfterClose = Span::millis(300);
-    // When slots of a silent sender are released: senders without a holder stop using slots before this, or
-    // are dead.
+    // When slots of a silent sender are released. It is dead, or only cut off and still using its slots: then
+    // the instance rejects the calls beyond its own slots as not executed.
     Span freeAfterSilence = Span::seconds(5);
     // A sender is unresponsive when a grant gets no report for this long: more than two retransmissions on
     // the longest path between regions, far below the seconds after which its link is known to be dead.
     Span unresponsiveAfter = Span::millis(600);
     // A grant without a matching HeldSlots is sent again: for an agent that lost it, not for a slow link.
     Span resendAfter = Span::seconds(1);
-    // A grant is still unconfirmed: far longer than any round trip, so the last HeldSlots is accepted as it
-    // is.
+    // A grant is still unconfirmed: far longer than any round trip. An increase then counts as in use; after
+    // a decrease the last HeldSlots is accepted if it is below the grant, otherwise calls still run.
     Span acceptHeldAfter = Span::seconds(3);
 
     // Time constants of the call rate averages, in seconds: fast for increases (2 s: a jump shows within a
@@ -51,7 +51,7 @@
 
     // Costs in GB of instance memory kept for one second: of a start, besides the memory during boot, and of
     // a call that is late for lack of an instance. Halving or doubling either changes the sum of memory and
-    // starts little, as both are compared where they cost the same.
+    // starts little, as instances are stopped where keeping them and starting them again cost the same.
     double startCostGbSeconds = 0.5, lateCallCostGbSeconds = 1.0;
     // How long a service that boots longer than its target latency has one instance before its first call.
     Span prewarmTime = Span::seconds(20);
@@ -60,8 +60,8 @@
     Span unconfiguredKeepTime =
         Span::seconds(5);  // for instances of services that the configuration does not name
 
-    // Time in which the queue is to drain after a boot; calls of hot services are late already and need it
-    // fast.
+    // Time in which the queue is to drain after a boot. hotDrainTime: for services whose calls miss the
+    // target latency if they wait for a boot; these are late already and need it fast.
     Span hotDrainTime = Span::millis(500), minDrainTime = Span::millis(150), maxDrainTime = Span::seconds(1);
     double priorCallToTargetRatio =
         0.25;  // call duration / target latency until a call was measured (real ratios: 0.05 to 0.3)
